--- a/packages/proxy/src/sassafrastally/proxy/admission.py
+++ b/packages/proxy/src/sassafrastally/proxy/admission.py
@@ -1,10 +1,10 @@
-"""Who is turned away at once because engines have too much to do.
+"""Admission control: which requests are rejected at once because the engines are overloaded.
 
-The load that it answers: two to three times what engines can take, for ten seconds and longer.
-Engines that are given all of it finish nearly all of it late. Those that are given what fits
-finish it in time, and callers who are turned away at once can come back. Nobody is turned away
-for a lateness that other work doesn't cause: slow engines and prompts that would be late on idle
-ones are served as well as it goes.
+Guards against loads of two to three times the capacity of the engines for ten seconds and longer.
+Engines that accept all of such a load finish nearly every request late. With admission control
+they finish the accepted requests in time, and rejected callers can retry. A request is rejected
+only if other work makes it late: if the engines are slow, or a prompt would be late even on idle
+engines, it is still served.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
     from sassafrastally.proxy.plan import Placement
 
 SHORT_WAIT_SHARE = 0.5
-"""Share of its goal that a short prompt may wait for other work if it would be late by it."""
+"""Largest share of its goal that a short prompt predicted to be late may wait for other work."""
 
 FREE_SHARE = 0.1
-"""Reading that is never too much to begin a long prompt, of the longest goal; on each engine of
-the long lane."""
+"""Prefill backlog below which every long prompt is accepted, per engine of the long lane and as a
+share of the longest goal."""
 
 FULL_SHARE = 0.4
-"""Reading from which no long prompt begins, of the longest goal. The newest part is read first, so
-that what is admitted beyond it makes others late rather than itself."""
+"""Prefill backlog above which no long prompt is accepted, as a share of the longest goal. Engines
+prefill the newest part first, so a prompt accepted beyond this limit delays others, not itself."""
 
 OWN_WEIGHT = 3.0
-"""How much more a long prompt's own reading counts than what is under way: the larger a prompt, the
-more others it makes late for one that is in time."""
+"""Weight of a long prompt's own prefill time relative to the backlog. The larger a prompt, the more
+other requests it makes late in order to be in time itself."""
 
 
 class Goals(NamedTuple):
-    """Times within which first events are wanted."""
+    """Goals for the time to the first event."""
 
     own_s: float
-    """That of the request."""
+    """Goal of the request's route."""
     longest_s: float
-    """The longest of all routes to the same engines."""
+    """Longest goal of all routes to the same engines."""
 
 
 def overload_reason(plan: Placement, goals: Goals) -> str:
-    """Return why a new request must not begin; empty if it may.
+    """Return why a new request is rejected, or an empty string if it is accepted.
 
     Parameters
     ----------
     plan
-        Where it would go.
+        Planned placement of the request.
     goals
-        When its first event is wanted.
+        Goals for the time to its first event.
     """
     if plan.lane is Lane.SHORT:
         return _short_reason(plan, goals.own_s)
--- a/packages/proxy/src/sassafrastally/proxy/apart.py
+++ b/packages/proxy/src/sassafrastally/proxy/apart.py
@@ -1,12 +1,13 @@
-"""Where a request is placed under which a server has crashed.
-
-The load that it answers: a server crashes with some eight requests on it, one of which was the
-cause. Entries that all choose the least busy server sent them to the same next one, where the
-harmful one broke them all off again, for good: routes allow two attempts. All entries know which
-requests ran on the server and deal them out in the same way, each to a server of its own, so that
-the next crash tells them apart. Those with more than one crash come first: two that meet for the
-third time are both quarantined. A body that many callers ask for goes to one server for all of
-them, so that fewer crash at once.
+"""Placement of requests that were running on a server when it crashed.
+
+A server crashes with about eight requests on it, one of which is the cause. If every entry retries
+them on the least busy server, they meet on the same server again, the harmful request crashes it
+too, and all of them fail for good because routes allow two attempts. Therefore all entries, which
+know the requests that ran on the crashed server, compute the same assignment of each suspect
+request to a server of its own, so that the next crash identifies the cause. Requests with more than
+one crash are assigned first, because two requests that share a third crash are both quarantined.
+Identical request bodies from several callers are assigned to one server, so that fewer servers
+crash at once.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
     from sassafrastally.proxy.lanes import ServerView
 
 MOST_DEALT = 16
-"""Requests that are dealt out together: what a server runs and what waits there. Each looks through
-all servers."""
+"""Most requests that are assigned together: those that a server runs and those in its queue. The
+limit bounds the cost, as each assigned request scans all servers."""
 
 MASK = (1 << 64) - 1
 
@@ -30,29 +31,30 @@
 def dealt_server(
     views: Sequence[ServerView], fingerprint: int, suspects: Mapping[int, int]
 ) -> list[ServerView]:
-    """Return the server that a request is dealt; those to choose from if there are too few.
+    """Return the server assigned to a suspect request, or the candidates if there are too few.
 
-    Those with the most crashes are dealt first. Servers that are known to run such a request are
-    dealt last, but for rivals: requests with more than one crash each.
+    Requests with the most crashes are assigned first. Servers known to run a suspect request are
+    assigned last, except if several requests have more than one crash each.
 
     Parameters
     ----------
     views
-        Servers that may get the request.
+        Servers that can take the request.
     fingerprint
-        The request.
+        Fingerprint of the request.
     suspects
-        Crashes by fingerprint, of it and of the requests that were on the same crashed servers, the
-        latest first.
+        Number of crashes by fingerprint, for this request and for those that were on the same
+        crashed servers, the latest first.
     """
     left = list(views)
     kept_off: set[str] = set()
-    """Servers that requests with more crashes are dealt."""
+    """Servers assigned to requests with more crashes."""
     turns = _turns(fingerprint, suspects)
     has_rivals = sum(suspects[one] > 1 for one in turns) > 1
     for one in turns:
         idle = [view for view in left if not view.work.suspect_requests]
-        # Entries may differ for a moment on which servers are idle; rivals part all the same.
+        # Entries can briefly disagree on which servers are idle. Requests with more than one crash
+        # ignore idleness, so that all entries still assign them to different servers.
         choice = left if has_rivals and suspects[one] > 1 else idle or left
         if not choice:
             break
@@ -66,13 +68,13 @@
 
 
 def _turns(fingerprint: int, suspects: Mapping[int, int]) -> list[int]:
-    """Return the requests that are dealt servers, in an order on which all entries agree."""
+    """Return the requests to assign, in the same order at all entries."""
     most = sorted(suspects, key=lambda one: -suspects[one])[:MOST_DEALT]
     return sorted({fingerprint, *most}, key=lambda one: (-suspects[one], one))
 
 
 def _rank(fingerprint: int, view: ServerView) -> int:
-    """Return the place of a server in the order of a request, by a mix of both hashes."""
+    """Return the rank of a server for a request, a mix of both hashes (rendezvous hashing)."""
     mixed = (fingerprint ^ server_hash(view.server.life_id)) & MASK
     mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9 & MASK
     mixed = (mixed ^ (mixed >> 27)) * 0x94D049BB133111EB & MASK
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -1,4 +1,4 @@
-"""What backend servers ask of their callers, as this entry and its peers have heard."""
+"""Backpressure from backend servers, as learned by this entry and its peers."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
     from sassafrastally.proxy.model import BackendServer, ServerAsks
 
 RESTED_PER_S = 20.0
-"""Requests a second assumed of a server that names no limit, when its time of rest is over."""
+"""Assumed requests per second of a server without a stated limit once its cool-down is over."""
 
 OWN_WORD = "answer"
-"""Source of what this entry has heard itself."""
+"""Log source of limits that this entry has received in an answer."""
 
 
 class CallKind(Enum):
-    """What a request to a backend server is for."""
+    """Purpose of a request to a backend server."""
 
     ATTEMPT = "attempt"
     REPORT = "report"
@@ -51,12 +51,12 @@
 
 
 class Backpressure(Service):
-    """Decides whether a backend server wants a further request of this entry.
+    """Decides whether a backend server accepts a further request of this entry.
 
     Parameters
     ----------
     own_host
-        This entry, as its peers know it.
+        Host of this entry, as known to its peers.
     """
 
     name: ClassVar[str] = "backpressure"
@@ -69,18 +69,18 @@
         self._sent: dict[str, SentRequests] = {}
         self._limits = ServerLimits()
         self._shares: dict[str, float] = {}
-        """This entry's shares by server, as long as the entries and the limits stay the same."""
+        """Cache of this entry's shares by server; valid until the entries or the limits change."""
         self._shared_among: set[str] = set()
         self._return_times = ReturnTimes()
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Find the services that know servers and entries."""
+        """Resolve the services that provide the servers and the peers."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         self._peers = self.kernel.get("peers", Peers)
         self._peers.limits = self
 
     def gauges(self) -> dict[str, float]:
-        """Return how many servers ask for what."""
+        """Return the number of servers by kind of backpressure."""
         self._cool_downs.forget_over(self._now_s)
         return {
             "limited_servers": self._limits.count(),
@@ -94,12 +94,12 @@
         self._sent_to(server.life_id).note(self._now_s)
 
     def count_part(self, server: BackendServer) -> None:
-        """Count a part of a prompt that a limited server reads for another one."""
+        """Count a part of a prompt that a limited server prefills for another one."""
         if self.limit_of(server.life_id) is not None:
             self._sent_to(server.life_id).note(self._now_s)
 
     def note_answer(self, server: BackendServer, asks: ServerAsks) -> None:
-        """Note what a server asks in an answer."""
+        """Note the backpressure signals in a server's answer."""
         key = server_hash(server.life_id)
         change = self._limits.hear(key, asks.most_per_s, self._now_s)
         self._note_change(key, change, OWN_WORD)
@@ -109,21 +109,22 @@
             self._note_cool_down(server, asks.cool_down_s)
 
     def leaving(self) -> dict[str, float]:
-        """Return the servers that have lately said that they leave, with the seconds left."""
+        """Return the servers that recently announced leaving, with the remaining seconds."""
         return self._leaving.told(self._now_s)
 
     def is_leaving(self, server: BackendServer) -> bool:
-        """Return whether a server has said that it leaves."""
+        """Return whether a server has announced that it is leaving."""
         return server.life_id in self._leaving
 
     def limit_of(self, life_id: str) -> float | None:
-        """Return the requests a second that a server takes; ``None`` without a limit."""
+        """Return the requests per second that a server accepts; ``None`` without a limit."""
         return self._limits.of(server_hash(life_id)) if self._limits else None
 
     def rooms_s(self, servers: Iterable[BackendServer]) -> dict[str, float]:
-        """Return the time until each of these servers takes a request; those that do are left out.
+        """Return the time until each server accepts a request; servers that do now are left out.
 
-        Infinity for those that leave, and for those whose limit others share.
+        The time is infinite for servers that are leaving and for those whose limit is shared by
+        other entries only.
         """
         self._cool_downs.forget_over(self._now_s)
         if not (self._limits or self._leaving or self._cool_downs):
@@ -135,20 +136,20 @@
         return {life_id: room_s for life_id, room_s in rooms if room_s > 0}
 
     def is_open(self, server: BackendServer) -> bool:
-        """Return whether a server takes a request of this entry now."""
+        """Return whether a server accepts a request of this entry now."""
         return not self.rooms_s([server])
 
     def come_back_s(
         self, service: str, servers: Sequence[BackendServer], time_left_s: float | None
     ) -> float | None:
-        """Return after how long a caller may come back whom no server takes; ``None``: unknown.
+        """Return the retry delay for a caller that no server accepts; ``None`` if it is unknown.
 
         Parameters
         ----------
         service
-            The service that it asks for.
+            The requested service.
         servers
-            Its servers.
+            The servers of the service.
         time_left_s
             How long the caller waits for its answer; ``None`` without a limit.
         """
@@ -161,23 +162,23 @@
         of_all_per_s = sum(self._taken_per_s(server.life_id) for server in staying)
         first_s = min(rooms.values())
         if math.isinf(first_s):
-            # Others share all limits; they have room on average after so long.
+            # Other entries share all limits; this is the average time until one has room.
             first_s = 1 / of_all_per_s
         own_per_s = of_all_per_s / (1 + len(self._peers.members()))
         return self._return_times.next_s(service, first_s, own_per_s, time_left_s, self._now_s)
 
     def news(self) -> Mapping[int, LimitNews]:
-        """Return what peers are told, the latest first."""
+        """Return the limits to send to peers, the latest first."""
         return self._limits.news(self._now_s)
 
     def take(self, news: Mapping[int, LimitNews], host: str) -> None:
-        """Take what a peer tells."""
+        """Record the limits that a peer has reported."""
         for key, told in news.items():
             change = self._limits.hear_from_peer(key, told, self._now_s)
             self._note_change(key, change, host)
 
     def forget_gone(self, known: Collection[str]) -> None:
-        """Forget what was noted of servers that no longer exist."""
+        """Forget servers that no longer exist."""
         now_s = self._now_s
         for life_id in self._sent.keys() - known:
             if self._sent[life_id].count(now_s) == 0:
@@ -213,7 +214,7 @@
         )
 
     def _taken_per_s(self, life_id: str) -> float:
-        """Return the requests a second that a server takes when it next takes any."""
+        """Return the rate at which a server accepts requests once it accepts any."""
         most_per_s = self.limit_of(life_id)
         return RESTED_PER_S if most_per_s is None else max(LEAST_PER_S, most_per_s)
 
--- a/packages/proxy/src/sassafrastally/proxy/budget.py
+++ b/packages/proxy/src/sassafrastally/proxy/budget.py
@@ -1,8 +1,8 @@
-"""The budget of repeats that all entries share.
+"""Retry budget shared by all entries.
 
-The load that it answers: many backend servers fail at once, each request is sent twice, and the
-second half of the load keeps the servers down. Each entry takes its part of the budget from the
-number of live entries, so that no message is needed before a repeat.
+Guards against retry storms: when many backend servers fail at once and every request is sent twice,
+the doubled load keeps the servers down. Each entry derives its part of the budget from the number
+of live entries, so no message is needed before a retry.
 """
 
 from __future__ import annotations
@@ -10,19 +10,20 @@
 from collections import deque
 
 SAFETY_SHARE = 0.6
-"""Part of the budget that is used. Counts of requests that all entries see differ by what is under
-way, entries that restart forget what they sent, and a window of the callers' clock isn't ours."""
+"""Share of the configured budget that is spent. The rest covers requests in flight that not all
+entries have counted, the counts that a restarted entry has lost, and the offset between this
+entry's window and the callers' window."""
 
 
 class RetryBudget:
-    """Requests and repeats of this entry over a sliding window.
+    """Requests and retries of this entry over a sliding window.
 
     Parameters
     ----------
     ratio
-        Repeats that are allowed as a share of requests.
+        Retries allowed as a share of requests.
     extra
-        Repeats that all entries together may send beside the share.
+        Retries that all entries together may send in addition to that share.
     window_s
         Length of the window.
     """
@@ -39,16 +40,16 @@
         self._window(self._requests, service, now_s).append(now_s)
 
     def repeats(self, service: str, now_s: float) -> int:
-        """Return the repeats of the window."""
+        """Return the number of retries in the window."""
         return len(self._window(self._repeats, service, now_s))
 
     def allowed(self, service: str, entries: int, now_s: float) -> float:
-        """Return how many repeats this entry may send in a window."""
+        """Return how many retries this entry may send in a window."""
         requests = len(self._window(self._requests, service, now_s))
         return SAFETY_SHARE * (self._ratio * requests + self._extra / max(1, entries))
 
     def take(self, service: str, entries: int, now_s: float) -> bool:
-        """Count a repeat, if the budget still has one."""
+        """Count a retry and return whether the budget allows it."""
         if self.repeats(service, now_s) + 1 > self.allowed(service, entries, now_s):
             return False
         self._repeats[service].append(now_s)
--- a/packages/proxy/src/sassafrastally/proxy/cool_downs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cool_downs.py
@@ -1,14 +1,14 @@
-"""Backend servers that have asked this entry for some time without requests.
+"""Cool-down periods that backend servers have requested from this entry.
 
-The load that it answers: a server that turns requests away for seconds and says for how long. Asked
-again within that time it turns away again, and each such request has one attempt less elsewhere.
+A server that rejects requests for some seconds can state for how long. Requests sent within that
+time are rejected as well, and each of them loses one of its attempts.
 """
 
 from __future__ import annotations
 
 
 class CoolDowns:
-    """When each server's time is over."""
+    """End of the cool-down by server."""
 
     def __init__(self) -> None:
         self._until_s: dict[str, float] = {}
@@ -17,7 +17,7 @@
         return len(self._until_s)
 
     def note(self, life_id: str, for_s: float, now_s: float) -> bool:
-        """Note that a server asks for some time; return whether that prolongs what it has asked."""
+        """Note a requested cool-down and return whether it ends later than the known one."""
         until_s = now_s + for_s
         if until_s <= self._until_s.get(life_id, now_s):
             return False
@@ -25,9 +25,9 @@
         return True
 
     def left_s(self, life_id: str, now_s: float) -> float:
-        """Return how long a server still wants no request."""
+        """Return the rest of a server's cool-down; 0 without one."""
         return max(0.0, self._until_s.get(life_id, now_s) - now_s)
 
     def forget_over(self, now_s: float) -> None:
-        """Forget servers whose time is over."""
+        """Forget cool-downs that have ended."""
         self._until_s = {one: until_s for one, until_s in self._until_s.items() if until_s > now_s}
--- a/packages/proxy/src/sassafrastally/proxy/engine_time.py
+++ b/packages/proxy/src/sassafrastally/proxy/engine_time.py
@@ -1,8 +1,9 @@
-"""A model of the time that an engine takes, from its published figures.
+"""Model of the time that an engine takes, from its published performance figures.
 
-An engine works in passes. A pass in which some request writes has a stride of token steps; each
-step also reads up to a chunk of prompt tokens. Reading takes time for each token and for each pair
-of a token and an earlier one, so that a prompt's time grows with its square.
+An engine works in passes. A pass in which any request decodes consists of a stride of token steps;
+each step also prefills up to a chunk of prompt tokens. Prefill takes time for each token and for
+each pair of a token and an earlier one, so a prompt's prefill time grows with the square of its
+length.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 PAIRS_UNIT = 1_000_000
 
 MOST_HELPERS = 16
-"""Helpers that an engine accepts for one prompt."""
+"""Most helpers that an engine accepts for one prompt."""
 
 
 def reading_ms(figures: EngineFigures, tokens: int) -> float:
-    """Return how long one engine reads a prompt of that many tokens."""
+    """Return the time that one engine takes to prefill a prompt of that many tokens."""
     pairs_millions = tokens * tokens / 2 / PAIRS_UNIT
     return tokens / figures.read_tokens_per_ms + pairs_millions * figures.pairs_ms_per_million
 
 
 def pass_ms(figures: EngineFigures, requests: int, context_tokens: int) -> float:
-    """Return the length of a pass without reading, with that many requests writing."""
+    """Return the length of a pass in which that many requests decode and none is prefilled."""
     step_ms = (
         figures.step_ms
         + figures.per_request_ms * requests
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -1,9 +1,9 @@
-"""Engines divided into those that answer short prompts and those that read long ones.
+"""Split of the engines into one lane for short prompts and one for long prompts.
 
-The load that it answers: short prompts, whose callers notice a pause of a quarter of a second,
-beside prompts that take an engine seconds to read, in a mix that swings by a factor of ten within
-seconds. An engine that reads a long prompt holds up all that it writes, so short requests and long
-ones are kept on different engines.
+Callers of short prompts notice a pause of a quarter of a second, while a long prompt takes an
+engine seconds to prefill, and the mix of both changes by a factor of ten within seconds. An engine
+that prefills a long prompt delays everything that it decodes, so short and long requests are placed
+on different engines.
 """
 
 from __future__ import annotations
@@ -22,53 +22,54 @@
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
 SHORT_REQUEST_S = 1.5
-"""Usual time that a short request keeps its slot; from it and the requests in progress follows how
-many begin in a moment."""
+"""Typical time that a short request occupies its slot. Together with the number of requests in
+progress it gives the rate at which requests start."""
 
 SHORT_FILL = 0.75
-"""Share of an engine's slots that the short lane is sized for; the rest is room for what other
-entries place at the same moment."""
+"""Share of the slots that the short lane is sized for. The rest is a reserve for requests that
+other entries place at the same time."""
 
 LONG_LANE_SHARE = 0.12
-"""Least share of the engines in the long lane, so that the first long prompt after a quiet time
-finds engines without short requests."""
+"""Smallest share of the engines in the long lane, so that the first long prompt after a period
+without any finds engines without short requests."""
 
 
 class ServerView(NamedTuple):
-    """What is known of one engine when a prompt is placed."""
+    """Known state of one engine when a prompt is placed."""
 
     server: BackendServer
     work: Work
     is_suspect: bool = False
-    """Recent answers speak against it; it is used only when no other is left."""
+    """Whether recent answers indicate a fault; it is used only when no other engine is left."""
     pace: float = 1.0
-    """How many times slower than its figures it works."""
+    """Factor by which it is slower than its published figures."""
     is_limited: bool = False
-    """It takes few requests, so it reads parts of prompts that others answer only in need."""
+    """Whether it limits its request rate. It then prefills parts of prompts that other engines
+    answer only if the prompt can't be answered in time without it."""
 
 
 class Lanes(NamedTuple):
-    """Engines by lane, in the order that all entries share."""
+    """Engines by lane, in the order that all entries use."""
 
     long: tuple[ServerView, ...]
     short: tuple[ServerView, ...]
 
 
 class Scatter(NamedTuple):
-    """How entries that can't see each other's latest choices keep out of each other's way.
+    """Randomization against herding of entries that don't know each other's latest placements.
 
-    The load that it answers: many entries place requests faster than they hear of each other's. If
-    each took the best engine by the same rule, all would take the same one until they hear of it,
-    and fill it far beyond its slots while its neighbours idle. So each draws among as many equally
-    good engines as there are requests under way that it hasn't heard of.
+    Many entries place requests faster than they learn of each other's placements. If each took the
+    best engine by the same rule, all would pick the same engine and overfill its slots while others
+    are idle. Each entry therefore draws among equally good engines, in proportion to the estimated
+    number of requests that it doesn't know of yet.
     """
 
     random: Random
     news_age_s: float = 0.0
-    """How old the latest news of other entries is."""
+    """Age of the latest load report of other entries."""
 
     def unheard(self, short_requests: int) -> float:
-        """Return how many short requests others have begun since their latest news."""
+        """Return the estimated short requests that others have started since their last reports."""
         return short_requests * self.news_age_s / SHORT_REQUEST_S
 
 
@@ -85,7 +86,7 @@
 def split_by_centre(
     views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
 ) -> Lanes:
-    """Divide the engines of each data centre by itself, as its own entries do.
+    """Split the engines of each data centre separately, as its own entries do.
 
     Parameters
     ----------
@@ -105,20 +106,20 @@
 def split_lanes(
     views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
 ) -> Lanes:
-    """Divide the engines by the short requests in progress.
+    """Split the engines into lanes by the number of short requests in progress.
 
-    The short lane gets what its requests need, the long lane all the rest: long prompts gain from
-    each engine, short ones gain nothing beyond room. Entries that see the same load divide alike,
-    because the order is fixed by the servers' ids.
+    The short lane gets as many engines as its requests need and the long lane gets the rest: each
+    further engine speeds up long prompts, while short prompts need only free slots. Entries that
+    see the same load compute the same split, because the order is fixed by the server ids.
 
     Parameters
     ----------
     views
-        Engines that may get work, in the shared order.
+        Engines that can take work, in the order that all entries use.
     figures
-        Figures of the engines.
+        Performance figures of the engines.
     scatter
-        Tells how many requests others may have placed since.
+        Estimates the requests that other entries have placed since their latest reports.
     """
     count = len(views)
     if count < 2:
--- a/packages/proxy/src/sassafrastally/proxy/long_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/long_placement.py
@@ -1,8 +1,8 @@
-"""Which engines read and answer a long prompt.
+"""Placement of long prompts: which engines prefill and answer them.
 
-The load that it answers: prompts that take one engine seconds to read, several at a time, beside
-short ones. They are read in parts by many engines at once; more engines read sooner and hold up
-more of what others write, and the cheapest plan is taken.
+Long prompts take one engine seconds to prefill, and several arrive at a time, next to short ones.
+Many engines prefill parts of one prompt in parallel. More engines finish the prefill sooner but
+delay more of the requests that they decode; the plan with the lowest cost is chosen.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
 LONG_VALUE_PER_K = 0.1
-"""What a late long request counts for, in late short ones for each 1,000 tokens: a caller with a
-dossier of 180,000 tokens waits on as much work as some twenty with a short note."""
+"""Cost of a late long request for each 1,000 tokens, in late short requests: a prompt of 180,000
+tokens is as much work as about twenty short ones."""
 
 DELAY_COST = 0.05
-"""Part of a request's value lost by a first event at its goal rather than at once: among plans that
-harm nobody the fastest is taken."""
+"""Share of a request's value that is lost if its first event comes at its goal rather than at once.
+Among plans that delay no other request, it selects the fastest."""
 
 OPENING_COST = 0.5
-"""What it costs to let an engine write for its first long request. Engines that only read harm
-nobody, so long requests are answered by few engines and read by the others."""
+"""Cost of starting to decode a long request on an engine that has none. Engines that only prefill
+delay no decoding, so few engines answer long requests and the others only prefill."""
 
 CONSIDERED = 3 * (MOST_HELPERS + 1)
-"""Engines among which a long prompt's are chosen: three times what it may take. A choice among some
-hundred would hold up all else that the process does."""
+"""Most engines considered for a long prompt: three times as many as it can use. A search over a
+hundred or more would block the process for too long."""
 
 
 def place_long(
@@ -53,10 +53,10 @@
     limits: ReadingLimits,
     scatter: Scatter,
 ) -> Placement | None:
-    """Return the cheapest plan to read a long prompt, over all sizes of the group that reads it.
+    """Return the plan with the lowest cost for a long prompt, over all group sizes.
 
-    More engines read it sooner but hold up more of what others write. Both are counted in the same
-    unit, short requests that become late.
+    More engines prefill the prompt sooner but delay more requests that are being decoded. Both
+    costs have the same unit: short requests that become late.
     """
     own_ms = reading_ms(figures, prompt.prompt_tokens)
     in_long_lane = {view.server.life_id for view in lanes.long}
@@ -65,16 +65,16 @@
         for view in dict.fromkeys([*lanes.long, *lanes.short])
         if view.work.reading_requests < figures.slots
     ]
-    # Engines that are equally good are taken in an order of this entry's own: two entries that
-    # place at the same moment would otherwise read two dossiers on the same engines.
+    # Equally good engines are taken in a random order: otherwise two entries that place long
+    # prompts at the same time would choose the same engines.
     scatter.random.shuffle(candidates)
     needed = prompt.prompt_tokens + prompt.output_tokens
     usual_part_ms = own_ms / min(MOST_HELPERS + 1, max(1, len(candidates)))
     considered = _least_harmed(candidates, CONSIDERED, usual_part_ms, limits)
     if not _has_leader(considered, needed, figures) and _has_leader(candidates, needed, figures):
         considered = candidates
-    # Engines with much to read already are harmed least by more, and would be taken first; the
-    # prompt must also be weighed against those that can begin soon.
+    # A further part adds least lateness on engines with a long prefill backlog, so these rank
+    # first. The engines that can start soon are therefore tried as a separate choice.
     soon = [
         candidate for candidate in considered if candidate.view.work.reading_ms < goal_s * 1000 / 3
     ]
@@ -94,33 +94,34 @@
 
 
 class _Candidate(NamedTuple):
-    """An engine with what doesn't depend on the part that it would read."""
+    """An engine with the values that don't depend on the size of its part."""
 
     view: ServerView
     before_ms: float
-    """Pause that its writers have without the part."""
+    """Pause of the requests that it decodes, without the part."""
     written: float
-    """What the long requests that it writes count for, in short ones."""
+    """Weight of the long requests that it decodes, in short requests."""
     is_short_lane: bool
 
 
 class _GroupPlan(NamedTuple):
     placement: Placement
     harm: float
-    """Requests that become late by it, counted in short ones."""
+    """Expected number of requests that it makes late, in short requests."""
 
 
 def _candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
     work = view.work
     before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
-    # Only long requests that are being written have pauses; counted with those that are still read,
-    # engines that lead a dossier seemed so dear that the next one was read by two or three alone.
+    # Only long requests that are being decoded have pauses. If those in prefill counted too, the
+    # engines that answer long prompts would look so expensive that two or three engines would
+    # prefill the next prompt alone.
     written = LONG_VALUE_PER_K * work.writing_tokens / 1000
     return _Candidate(view, before_ms, written, is_short_lane)
 
 
 def _can_lead(view: ServerView, needed: int, figures: EngineFigures) -> bool:
-    """Return whether an engine has a slot and the memory to answer a prompt alone."""
+    """Return whether an engine has a free slot and enough memory to answer a prompt alone."""
     return view.work.requests < figures.slots and free_tokens(view, figures) >= needed
 
 
@@ -131,7 +132,7 @@
 def _least_harmed(
     candidates: Sequence[_Candidate], count: int, part_ms: float, limits: ReadingLimits
 ) -> list[_Candidate]:
-    """Return the engines that a part harms least, those with least to read first among equals."""
+    """Return the engines with the least added lateness, then with the least prefill backlog."""
     return nsmallest(
         count,
         candidates,
@@ -147,7 +148,7 @@
     figures: EngineFigures,
     limits: ReadingLimits,
 ) -> _GroupPlan | None:
-    """Return the plan with the least harm for a group of that size."""
+    """Return the plan that adds the least lateness for a group of that size."""
     ranked = sorted(
         ((_harm(one, part_ms, limits), one.view.work.reading_ms, one.view) for one in candidates),
         key=lambda row: row[:2],
@@ -178,18 +179,18 @@
 
 
 def _late_cost(prompt: PromptSize, share_of_goal: float) -> float:
-    """Return what a first event at that share of its goal costs."""
+    """Return the cost of a first event at that share of its goal."""
     value = max(1.0, LONG_VALUE_PER_K * prompt.prompt_tokens / 1000)
     late = min(1.0, max(0.0, share_of_goal - SAFE_GOAL_SHARE) / (1.2 - SAFE_GOAL_SHARE))
     return value * (late + DELAY_COST * share_of_goal)
 
 
 def _harm(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
-    """Return how many requests there become late by a part, counted in short ones."""
+    """Return the expected requests on an engine that a part makes late, in short requests."""
     work = candidate.view.work
     harm = 0.0
     if candidate.is_short_lane:
-        # A part as long as a pause in the short lane makes one future request late.
+        # A part as long as the strictest pause is assumed to make one future request late.
         harm = part_ms / limits.strict_pause_ms
     if not work.short_requests and not candidate.written:
         return harm
@@ -205,7 +206,7 @@
 
 
 def _lateness(pause_ms: float, limits_ms: tuple[float, float]) -> float:
-    """Return how likely a pause is too long, rising between two limits."""
+    """Return the probability that a pause is too long; it rises linearly between two limits."""
     low_ms, high_ms = limits_ms
     return min(1.0, max(0.0, (pause_ms - low_ms) / (high_ms - low_ms)))
 
@@ -213,10 +214,10 @@
 def _holdings(
     group: Sequence[ServerView], needed: int, figures: EngineFigures
 ) -> tuple[Holding, ...] | None:
-    """Return where a prompt's memory lies; ``None`` when the group hasn't enough.
+    """Return how a prompt's memory is divided; ``None`` when the group doesn't have enough.
 
-    One engine holds it if one can. Otherwise the one with most room answers, and the others hold
-    as much as they can, those with most room first.
+    A single engine holds it if possible. Otherwise the engine with the most free memory answers,
+    and the others hold as much as they can, in the order of their free memory.
     """
     roomy = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
     leaders = [
--- a/packages/proxy/src/sassafrastally/proxy/pace.py
+++ b/packages/proxy/src/sassafrastally/proxy/pace.py
@@ -1,9 +1,10 @@
-"""How many times slower than their figures engines work, as their own reports say.
+"""Paces of engines: by what factor they are slower than their figures, from their own reports.
 
-The load that it answers: a sixth to a half of the engines turn two to five times slower for some
-seconds. They answer, so nothing fails; but a prompt that is read in parts waits for its slowest
-part, whoever answers it. Streams alone don't show an engine that only helps to read, and slow
-events don't tell slowness from reading that nobody has told of yet. The engine's report tells both.
+A sixth to a half of the engines can become two to five times slower for some seconds. They still
+answer, so no request fails, but a prompt that is prefilled in parts waits for its slowest part.
+Response streams alone don't reveal a slow engine that only helps with prefill, and slow events
+don't distinguish a slow engine from prefill work that hasn't been reported yet. The engine's report
+shows both.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
     from collections.abc import Mapping, Sequence
 
 USUAL_PACE = 1.0
-"""An engine that works by its figures."""
+"""Pace of an engine that matches its published figures."""
 
 SLOW_PACE = 1.3
-"""From this on an engine counts as slow; less can't be told from the error of predictions."""
+"""Pace from which an engine counts as slow. Smaller values are within the prediction error."""
 
 BELIEVED_S = 2.5
-"""How long a report is believed: two may be lost."""
+"""How long a report is valid, so that two lost reports are tolerated."""
 
 
 class _Seen(NamedTuple):
@@ -29,17 +30,17 @@
 
 
 class Paces:
-    """The latest pace of each engine that this process has asked."""
+    """Latest pace of each engine that this process polls."""
 
     def __init__(self) -> None:
         self._seen: dict[str, _Seen] = {}
 
     def note(self, life_id: str, pace: float, now_s: float) -> None:
-        """Note the pace that a report says."""
+        """Note the pace in a report."""
         self._seen[life_id] = _Seen(pace, now_s)
 
     def slow(self, now_s: float) -> dict[str, float]:
-        """Return the engines that are slow, with their pace."""
+        """Return the slow engines with their pace."""
         return {
             life_id: seen.pace
             for life_id, seen in self._seen.items()
@@ -53,5 +54,5 @@
 
 
 def slowest(paces: Mapping[str, float], life_ids: Sequence[str]) -> float:
-    """Return the pace of the slowest of some engines."""
+    """Return the pace of the slowest of these engines."""
     return max((paces.get(life_id, USUAL_PACE) for life_id in life_ids), default=USUAL_PACE)
--- a/packages/proxy/src/sassafrastally/proxy/placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/placement.py
@@ -1,6 +1,6 @@
-"""Where a prompt is read and answered.
+"""Placement of prompts: which engines prefill and answer them.
 
-Pure functions over what is known of the engines; the tasks that own connections call them.
+Pure functions of the known state of the engines, called by the tasks that own the connections.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 MOST_PART_SHARE = 0.06
-"""Part of the longest goal that one prompt's reading on one engine counts for at most: what comes
-later is read before a larger one, and needn't wait until that is done."""
+"""Largest prefill time that one prompt on one engine adds to the backlog, as a share of the longest
+goal. Engines prefill later prompts before larger ones, so these needn't wait for a large one."""
 
 
 def place_request(
@@ -38,20 +38,20 @@
     *,
     by_centre: bool = False,
 ) -> Placement | None:
-    """Return where a prompt goes among all engines; ``None`` when none has room.
+    """Return the placement of a prompt among all engines; ``None`` when none has room.
 
-    The load that it answers: some engines turn several times slower. Those that work by their
-    figures get the prompt as long as they answer it in time; the slow ones are used when even they
-    are sooner, so that with all engines slow service goes on.
+    Some engines can become several times slower. Engines of usual pace are preferred as long as
+    they meet the goal. Otherwise all engines are considered and the earliest plan is taken, so that
+    requests are still served when all engines are slow.
 
     Parameters
     ----------
     views
-        The engines, in the shared order.
+        The engines, in the order that all entries use.
     lane, prompt, goal_s, figures, limits, scatter
         As for `place_prompt`.
     by_centre
-        Whether each data centre's engines have lanes of their own.
+        Whether the engines of each data centre are split into lanes separately.
     """
     split = split_by_centre if by_centre else split_lanes
     usual = [view for view in views if view.pace < SLOW_PACE]
@@ -73,7 +73,7 @@
 def _with_lanes(
     plan: Placement, lanes: Lanes, views: Sequence[ServerView], limits: ReadingLimits
 ) -> Placement:
-    """Return a plan with what its lanes have to do."""
+    """Return a plan with the sizes and the prefill backlog of its lanes."""
     readers = len(lanes.long)
     most_ms = MOST_PART_SHARE * limits.longest_goal_s * 1000
     backlog_ms = sum(
@@ -95,24 +95,24 @@
     limits: ReadingLimits,
     scatter: Scatter,
 ) -> Placement | None:
-    """Return where a prompt goes; ``None`` when no engine has room.
+    """Return the placement of a prompt; ``None`` when no engine has room.
 
     Parameters
     ----------
     lanes
-        The engines.
+        The engines by lane.
     lane
         Lane of the prompt.
     prompt
-        Its size.
+        Size of the prompt.
     goal_s
-        Time within which its first event is wanted.
+        Goal for the time to its first event.
     figures
-        Figures of the engines.
+        Performance figures of the engines.
     limits
-        What reading may add to a pass.
+        Limits on the prefill time that a prompt adds to a pass.
     scatter
-        Draws among engines that are equally good.
+        Randomizes the choice among equally good engines.
     """
     if lane is Lane.SHORT:
         return place_short(lanes, prompt, goal_s, figures, limits, scatter)
@@ -125,10 +125,10 @@
 
 
 def _unlimited(lanes: Lanes) -> Lanes:
-    """Return the lanes with limited engines that read parts like all others.
+    """Return the lanes with no engine marked as limited.
 
-    A prompt that no engine can read alone in time, or hold, would otherwise never be answered while
-    all engines are limited.
+    While all engines are limited, a prompt that no single engine can prefill in time or hold in
+    memory would otherwise never be answered.
     """
     long, short = (
         tuple(view._replace(is_limited=False) for view in lane)
--- a/packages/proxy/src/sassafrastally/proxy/plain_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain_placement.py
@@ -1,4 +1,4 @@
-"""Which backend server of a plain service gets a request."""
+"""Placement of requests to plain services."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     from sassafrastally.proxy.model import BackendServer
 
 FAR_REQUESTS = 0.5
-"""What the way to another data centre counts for, in requests in progress. A request takes 20 to
-90 ms, the way there and back one to three; between servers that are equally busy the near one is
-taken, and one more request under way there already outweighs it."""
+"""Cost of a round trip to another data centre, in requests in progress. A request takes 20 to 90 ms
+and the round trip 1 to 3 ms: of two equally busy servers the one in the same data centre is taken,
+but one more request in progress there already outweighs the round trip."""
 
 
 def place_plain(views: Sequence[ServerView], data_centre: str) -> BackendServer | None:
     """Return the server with the fewest requests in progress; ``None`` when there is none.
 
-    The load that it answers: few servers with few slots each, whose requests differ in length by a
-    factor of ten. Requests in progress tell more than any average.
+    Plain services have few servers with few slots each, and the durations of their requests differ
+    by a factor of ten. The number of requests in progress is a better load signal than any average.
 
     Parameters
     ----------
     views
-        Servers that may get the request, in the shared order.
+        Servers that can take the request, in the order that all entries use.
     data_centre
         The data centre of this process.
     """
--- a/packages/proxy/src/sassafrastally/proxy/plan.py
+++ b/packages/proxy/src/sassafrastally/proxy/plan.py
@@ -1,4 +1,4 @@
-"""What a plan for a prompt consists of, and what plans of all kinds are made from."""
+"""Plan for the placement of a prompt, and functions shared by the kinds of placement."""
 
 from __future__ import annotations
 
@@ -14,61 +14,66 @@
     from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize
 
 MEMORY_SHARE = 0.96
-"""Share of an engine's memory that is given out; the rest covers what counts of others miss."""
+"""Share of an engine's memory that is allocated. The rest is a reserve for requests of other
+entries that aren't known yet."""
 
 
 SAFE_GOAL_SHARE = 0.6
-"""A plan predicted within this share of the goal counts as timely; the rest is room for what other
-entries place at the same moment."""
+"""Share of the goal within which a plan counts as timely. The rest is a reserve for requests that
+other entries place at the same time."""
 
 
 class Holding(NamedTuple):
-    """Memory that a prompt takes at one engine."""
+    """Memory that a prompt occupies on one engine."""
 
     server: BackendServer
     tokens: int
 
 
 class Placement(NamedTuple):
-    """Where a prompt goes."""
+    """Planned placement of a prompt."""
 
     server: BackendServer
     helpers: tuple[BackendServer, ...]
     lane: Lane
     parts: tuple[Part, ...]
     holdings: tuple[Holding, ...]
-    """The prompt's memory, the answering engine's first; what others hold has to be reserved."""
+    """Memory of the prompt, that of the answering engine first. Memory on the other engines has to
+    be reserved."""
     predicted_s: float
     """Predicted time to the first event."""
     alone_s: float
-    """What it would be if the engines had nothing else to do."""
+    """Predicted time to the first event if the engines were idle."""
     own_s: float = 0.0
-    """Reading of the prompt, spread over the engines of the long lane."""
+    """Prefill time of the prompt, divided by the number of engines in the long lane."""
     backlog_s: float = 0.0
-    """Reading under way at all engines, spread in the same way."""
+    """Remaining prefill time on all engines, divided in the same way."""
     lanes: str = ""
-    """Sizes of the long and the short lane at the decision, for the log."""
+    """Sizes of the long and the short lane at the time of the decision, for the log."""
 
 
 def most_prompt_tokens(figures: EngineFigures) -> int:
-    """Return the largest prompt that any number of engines could hold."""
+    """Return the largest prompt that a group of engines can hold."""
     return (MOST_HELPERS + 1) * figures.memory_tokens
 
 
 def free_tokens(view: ServerView, figures: EngineFigures) -> int:
-    """Return the memory that an engine can still give to a prompt."""
-    # Entries that place at the same moment can give out more than there is, for a while.
+    """Return the memory of an engine that is still free for a prompt."""
+    # Entries that place prompts at the same time can briefly overcommit an engine's memory.
     return max(0, int(MEMORY_SHARE * figures.memory_tokens) - view.work.tokens)
 
 
 def has_room(view: ServerView, prompt: PromptSize, figures: EngineFigures) -> bool:
-    """Return whether an engine has a slot and the memory for a prompt."""
+    """Return whether an engine has a free slot and enough memory for a prompt."""
     needed = prompt.prompt_tokens + prompt.output_tokens
     return free_tokens(view, figures) >= needed and view.work.requests < figures.slots
 
 
 def first_event_ms(view: ServerView, part_ms: float, figures: EngineFigures) -> float:
-    """Return when a prompt's first event is due: the pass under way, all reading, its own pass."""
+    """Return the predicted time to a prompt's first event.
+
+    The sum of the rest of the current pass, the prefill backlog, the prompt's part and one pass.
+    """
     work = view.work
     one_pass_ms = pass_ms(figures, work.requests, work.tokens) * view.pace
     under_way_ms = one_pass_ms / 2 if work.requests else 0.0
@@ -82,20 +87,20 @@
     part_ms: float,
     figures: EngineFigures,
 ) -> Placement:
-    """Return a plan.
+    """Return the plan for a group of engines.
 
     Parameters
     ----------
     group
-        The engines that read the prompt.
+        The engines that prefill the prompt.
     holdings
-        Where its memory lies; the first one answers.
+        Memory of the prompt by engine; the first engine answers.
     lane
         Lane of the prompt.
     part_ms
-        Reading time of each one's part.
+        Prefill time of each engine's part.
     figures
-        Figures of the engines.
+        Performance figures of the engines.
     """
     server = holdings[0].server
     predicted_ms = max(first_event_ms(view, part_ms, figures) for view in group)
--- a/packages/proxy/src/sassafrastally/proxy/pool.py
+++ b/packages/proxy/src/sassafrastally/proxy/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept between requests."""
+"""Pool of keep-alive connections to backend servers."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     from sassafrastally.proxy.model import BackendServer
 
 CONNECT_TIME_S = 0.5
-"""Longest wait for a connection. One takes a few milliseconds; a server that is cut off or whose
-accept queue is full shows by this, early enough to go to another one."""
+"""Connect timeout. Connecting takes a few milliseconds; the timeout detects a server that is
+unreachable or whose accept queue is full early enough to fail over to another one."""
 
 IDLE_TIME_S = 3.0
-"""Connections idle for longer are closed. Backend servers drop idle connections without notice;
-the shorter the idle time, the rarer a request that meets such a connection."""
+"""Idle connections are closed after this time. Backend servers drop idle connections without
+notice; the shorter the idle time, the fewer requests are sent on a dropped connection."""
 
 KEPT_PER_SERVER = 8
-"""Idle connections kept for one backend server; an engine runs that many requests at once."""
+"""Most idle connections kept for one backend server; an engine runs that many requests at once."""
 
 
 class _Idle(NamedTuple):
@@ -40,12 +40,12 @@
         return HttpStream(await connect(server.address, CONNECT_TIME_S), h11.CLIENT)
 
     async def take(self, server: BackendServer) -> HttpStream | None:
-        """Return an idle connection that shows no sign of its end, if there is one."""
+        """Return an idle connection that still looks usable, or ``None``."""
         kept = self._idle.get(server.life_id, [])
         while kept:
             idle = kept.pop()
-            # A second answer to an earlier request, or the server's end of the connection, shows
-            # as unread input. The next request would take such bytes for its own answer.
+            # Unread input is either a second response to an earlier request or the end of the
+            # connection. The next request would take such bytes for its own response.
             is_fresh = trio.current_time() - idle.since_s < IDLE_TIME_S
             if is_fresh and not idle.connection.has_unread_input():
                 return idle.connection
@@ -53,7 +53,7 @@
         return None
 
     async def put_back(self, server: BackendServer, connection: HttpStream) -> None:
-        """Keep a connection whose answer was complete."""
+        """Return a connection to the pool after a complete response; close it if it can't be kept."""
         kept = self._idle.setdefault(server.life_id, [])
         if len(kept) >= KEPT_PER_SERVER or connection.has_unread_input():
             await connection.close()
@@ -68,8 +68,8 @@
     async def close_idle(self) -> None:
         """Close the connections that have been idle for too long.
 
-        A server that left gets no more requests, so that nobody would ever look at its connections
-        again; over days of replacements they would use up the process's descriptors.
+        A server that has left gets no more requests, so `take` never closes its connections. Over
+        days of server replacements they would exhaust the process's file descriptors.
         """
         oldest_s = trio.current_time() - IDLE_TIME_S
         for life_id, kept in list(self._idle.items()):
--- a/packages/proxy/src/sassafrastally/proxy/pools.py
+++ b/packages/proxy/src/sassafrastally/proxy/pools.py
@@ -1,9 +1,10 @@
-"""Engines of one data centre as a fleet of their own, where there are enough of them.
+"""Division of a service's engines into one pool per data centre, if there are enough of them.
 
-The load that it answers: 195 engines in five data centres before 68 entries. Of the engines in its
-own data centre an entry hears within a twentieth of a second, of the others through sums; a short
-prompt that goes there passes between data centres twice, and a choice among all takes five times as
-long. So short prompts are answered near by, unless they would be late there.
+In a deployment of 68 entries and 195 engines in five data centres, an entry learns of load in its
+own data centre within 50 ms, but of load elsewhere only through aggregated reports. A short prompt
+placed in another data centre crosses between data centres twice, and choosing among all engines
+takes five times as long. Short prompts are therefore placed in the entry's own data centre unless
+they would be late there.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
     from sassafrastally.proxy.plan import Placement
 
 LEAST_ENGINES = MOST_HELPERS + 1
-"""Engines that a data centre needs: as many as the longest prompt may take. With fewer, a lane of
-one engine more or less is a coarse step; with a higher bound, data centres that lose a quarter of
-their engines fall below it in the middle of a burst."""
+"""Fewest engines for a pool of its own: as many as the longest prompt can use. With fewer engines,
+the lanes can be sized only in coarse steps. With a higher bound, a data centre that loses a quarter
+of its engines would fall below it in the middle of a burst."""
 
 
 def divide(servers: Iterable[BackendServer]) -> dict[str, list[BackendServer]]:
-    """Return the engines of a service by data centre, in their order; empty if one has too few."""
+    """Return a service's engines by data centre, in order; empty if any centre has too few."""
     pools: dict[str, list[BackendServer]] = {}
     for server in servers:
         pools.setdefault(server.data_centre, []).append(server)
@@ -36,13 +37,13 @@
 
 
 def stays_near(plan: Placement | None, goal_s: float) -> bool:
-    """Return whether a prompt is answered near by, as planned, and the other engines aren't asked.
+    """Return whether a prompt is placed in its own data centre without considering all engines.
 
     Parameters
     ----------
     plan
-        Where it would go in its own data centre; ``None`` when nothing there has room.
+        Placement in its own data centre; ``None`` when no engine there has room.
     goal_s
-        Time within which its first event is wanted.
+        Goal for the time to its first event.
     """
     return plan is not None and plan.predicted_s <= SAFE_GOAL_SHARE * goal_s
--- a/packages/proxy/src/sassafrastally/proxy/rate_shares.py
+++ b/packages/proxy/src/sassafrastally/proxy/rate_shares.py
@@ -1,10 +1,11 @@
-"""What one entry may send a server that limits the requests of all entries together.
-
-The load that it answers: a server in need takes one request a second, and seventy entries have work
-for it. If each kept to the limit by itself, the server would get seventy times as many. If each
-took a seventieth and sent when it likes, seventy single requests could still meet in one second. So
-only a few entries share a server's limit: chosen by a hash of both names, alike at all entries that
-know the same peers, without a message for a request. With many servers each entry has its own few.
+"""Share of one entry in a server's rate limit, which applies to all entries together.
+
+An overloaded server may accept one request per second while seventy entries have work for it. If
+each entry applied the limit by itself, the server would get seventy times as many requests. If each
+entry took a seventieth, seventy single requests could still arrive within one second. Therefore
+only a few entries share a server's limit. They are chosen by a hash of the server and the entry, so
+that all entries with the same peers agree without any message per request. With many servers, each
+entry shares the limits of some of them.
 """
 
 from __future__ import annotations
@@ -19,46 +20,46 @@
     from collections.abc import Collection
 
 LEAST_PER_S = 0.5
-"""Requests a second sent to a server that takes fewer: its answers alone show that it takes more
-again, and callers are refused until they do."""
+"""Lowest rate of requests to a limited server. Only its answers show when the limit has risen, and
+until then callers are rejected."""
 
 SENDERS = 3
 SENDERS_PER_REQUEST = 1.5
-"""Entries that share a limit: so many, and so many for each request a second of it. Each may have a
-request to send at the same moment as all others, so that their number is the limit's overshoot."""
+"""Number of entries that share a limit: a base, plus this many per request per second of the limit.
+All of them can send a request at the same moment, so their number bounds the overshoot."""
 
 
 class _Window(NamedTuple):
-    """A time over which requests are counted."""
+    """A window over which requests are counted."""
 
     time_s: float
     least: int
-    """Requests that always fit, however small the share."""
+    """Requests that are always allowed, however small the share."""
 
 
 WINDOWS = (_Window(1.0, 2), _Window(4.0, 1))
-"""The second keeps the limit, as servers count over some seconds; the first keeps an entry from
-sending all of that at once."""
+"""The long window enforces the limit, as servers count over some seconds. The short one prevents an
+entry from sending the requests of the long one in a single burst."""
 
 REMEMBERED_S = SENDERS / LEAST_PER_S
-"""How long requests are remembered: the time between two of an entry with the smallest share."""
+"""How long sent requests are kept: the interval between two requests at the smallest share."""
 
 
 def own_share_per_s(
     life_id: str, most_per_s: float, own_host: str, others: Collection[str]
 ) -> float:
-    """Return the requests a second that this entry may send a server; 0 if others share its limit.
+    """Return this entry's request rate to a server; 0 if other entries share the limit.
 
     Parameters
     ----------
     life_id
         The server.
     most_per_s
-        Requests a second that it takes from all entries together.
+        Requests per second that it accepts from all entries together.
     own_host
         This entry.
     others
-        All other entries that may send to it.
+        All other entries that can send to it.
     """
     taken_per_s = max(LEAST_PER_S, most_per_s)
     senders = min(int(SENDERS + SENDERS_PER_REQUEST * taken_per_s), 1 + len(others))
@@ -75,25 +76,25 @@
 
 
 class SentRequests:
-    """When this process sent requests to one server."""
+    """Send times of this process's requests to one server."""
 
     def __init__(self) -> None:
         self._at_s: deque[float] = deque()
 
     def note(self, now_s: float) -> None:
-        """Note a request that is sent now."""
+        """Record a request that is sent now."""
         self._forget_old(now_s)
         self._at_s.append(now_s)
 
     def count(self, now_s: float) -> int:
-        """Return the requests that are remembered."""
+        """Return the number of recently sent requests."""
         self._forget_old(now_s)
         return len(self._at_s)
 
     def room_in_s(self, share_per_s: float, now_s: float) -> float:
-        """Return the time until one more fits into a share of the server's limit.
+        """Return the time until one more request fits into a share of the server's limit.
 
-        Requests that were sent before the limit was known count too, since the server has got them.
+        Requests sent before the limit was known count too, since the server has received them.
         """
         if share_per_s <= 0:
             return math.inf
@@ -110,10 +111,10 @@
 
 
 class ReturnTimes:
-    """When callers that were turned away are asked to come back, one after the other.
+    """Schedule of retry times for rejected callers, spaced one after the other.
 
-    The load that it answers: a hundred callers a second before servers that take ten. Asked to come
-    back at the next moment with room they would all return at once, and nine of ten in vain.
+    With a hundred callers per second and servers that accept ten, callers that were all told the
+    next free moment would retry at once, and nine out of ten would be rejected again.
     """
 
     def __init__(self) -> None:
@@ -127,19 +128,19 @@
         time_left_s: float | None,
         now_s: float,
     ) -> float:
-        """Return after how long the next caller finds room.
+        """Return the time until the next caller can be accepted.
 
         Parameters
         ----------
         service
-            The service that it asks for.
+            The requested service.
         first_room_s
-            Time until a server takes a request again.
+            Time until a server accepts a request again.
         room_per_s
-            Requests a second that are taken from then on.
+            Requests per second that are accepted from then on.
         time_left_s
-            How long the caller waits for its answer. Room that comes later is named too, but not
-            kept for a caller that will have left.
+            How long the caller waits for its answer. A later time is returned too, but isn't
+            reserved for a caller that will have disconnected.
         now_s
             Present time.
         """
--- a/packages/proxy/src/sassafrastally/proxy/reading_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/reading_limits.py
@@ -1,9 +1,9 @@
-"""How much reading an engine can take beside what it writes, by what the routes allow.
+"""Limits on the prefill time that an engine can add to its decoding, from the goals of the routes.
 
-The load that it answers: routes whose callers notice a pause of a tenth to a quarter of a second,
-beside routes that allow several times as much, on engines of any speed. What a prompt may add to a
-pass follows from the pauses that the routes declare and from the length of a pass: figures that fit
-one workload make short requests late on slower engines.
+On some routes callers notice a pause of a tenth to a quarter of a second, others allow several
+times as much, and engines differ in speed. The limits are derived from the pauses that the routes
+declare and from the length of a pass: fixed values that suit one workload make short requests late
+on slower engines.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
     from sassafrastally.proxy.model import Configuration, EngineFigures, Route
 
 UNDECLARED_PAUSE_S = 1.0
-"""Pause that a route allows which declares none: long enough to bind nothing else."""
+"""Pause goal of routes that declare none: long enough not to restrict the other routes."""
 
 UNDECLARED_GOAL_S = 10.0
-"""Goal where no route declares one: the usual time limit."""
+"""Goal for the first event if no route declares one: the usual time limit."""
 
 TOLERANT_FACTOR = 1.6
-"""Routes that allow this many times the strictest route's pause count as tolerant. Between two
-routes that are closer a lane of their own would gain less than the spread of a pass."""
+"""Routes that allow at least this many times the strictest route's pause count as tolerant. For
+routes that are closer, separate lanes gain less than the variation in the length of a pass."""
 
 SHORT_PART_SHARE = 0.3
-"""Share of the room in a pause that one prompt's reading may take: three that meet in one pass
-still fit."""
+"""Largest share of the slack in a pause that one prompt's prefill takes, so that three prompts in
+one pass still fit."""
 
 LEAST_PART_PASSES = 0.9
-"""Least reading time of a part, in passes: below this a further helper gains less than the pass in
-which it reads."""
+"""Shortest prefill time of a part, in passes. Below it, a further helper saves less time than the
+pass in which it works."""
 
 RISING_FROM = 0.7
 RISING_TO = 1.05
-"""Shares of an allowed pause from which on pauses come too late, and at which all do; predictions
-of a pass err both ways."""
+"""Shares of an allowed pause at which the probability of lateness starts to rise and at which it
+reaches one. The range covers errors of the predicted pass in both directions."""
 
 TOLERANT_RISING_FROM = 0.75
 TOLERANT_RISING_TO = 0.9
-"""The same for tolerant routes, of the least pause that one of them allows and of the longest: the
-long prompts on an engine may come from any of them."""
+"""The same for tolerant routes, as shares of the shortest and of the longest pause that they allow:
+the long prompts on an engine can come from any of them."""
 
 
 class ReadingLimits(NamedTuple):
-    """What reading may add to a pass; times in milliseconds."""
+    """Limits on the prefill time that a prompt adds to a pass."""
 
     strict_pause_ms: float
     """Pause that the strictest route allows."""
     short_part_ms: float
-    """Longest reading on one engine for a short prompt; larger ones get helpers."""
+    """Longest prefill of a short prompt on one engine; larger prompts get helpers."""
     least_part_ms: float
-    """Least reading time of a long prompt's part."""
+    """Shortest prefill time of a long prompt's part."""
     short_pauses_ms: tuple[float, float]
-    """Pauses from which on events of short requests come too late, and at which all do."""
+    """Pauses of short requests at which the probability of lateness starts to rise and is one."""
     long_pauses_ms: tuple[float, float]
     """The same for long requests."""
     longest_goal_s: float
-    """Longest time within which a route wants its first event."""
+    """Longest goal of the routes for the time to the first event."""
 
     def is_tolerant(self, pause_s: float | None) -> bool:
         """Return whether a route that allows this pause counts as tolerant."""
@@ -70,7 +70,7 @@
 
 
 class KnownReadingLimits:
-    """Limits by service, worked out once for each configuration."""
+    """Cache of the limits by service, computed once per configuration version."""
 
     def __init__(self) -> None:
         self._version: int | None = None
@@ -79,7 +79,7 @@
     def of(
         self, configuration: Configuration, service: str, figures: EngineFigures
     ) -> ReadingLimits:
-        """Return what reading may add to a pass at the engines of a service."""
+        """Return the limits for the engines of a service."""
         if self._version != configuration.version:
             self._version = configuration.version
             self._by_service.clear()
@@ -99,9 +99,9 @@
     Parameters
     ----------
     routes
-        Routes whose requests its engines answer; others are passed over.
+        Routes to the service; those that don't stream are ignored.
     figures
-        Figures of the engines.
+        Performance figures of the engines.
     """
     routes = [route for route in routes if route.kind is RouteKind.STREAM]
     pauses_ms = sorted(
--- a/packages/proxy/src/sassafrastally/proxy/routes.py
+++ b/packages/proxy/src/sassafrastally/proxy/routes.py
@@ -1,4 +1,4 @@
-"""Which route, service and customer a request belongs to."""
+"""Lookup of the route, service and customer of a request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UnknownKey(NamedTuple):
-    """The request bears no key, or one that the configuration doesn't hold."""
+    """Result for a request with no key, or with a key that isn't in the configuration."""
 
 
 class RouteTable:
@@ -26,7 +26,7 @@
     Parameters
     ----------
     routes
-        The routes of a configuration. Of two with the same host and prefix the first counts.
+        The routes of a configuration. Of two with the same host and prefix the first is used.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
@@ -35,9 +35,9 @@
             self._by_host.setdefault(route.host, {}).setdefault(route.path_prefix, route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix that begins a path.
+        """Return the route of a host with the longest prefix of a path.
 
-        Prefixes end with a slash, so that only the parts of the path up to a slash can be one.
+        Prefixes end with a slash, so only the parts of the path up to a slash are looked up.
         """
         by_prefix = self._by_host.get(host)
         end = len(path)
@@ -51,7 +51,7 @@
 def find_customer(
     configuration: Configuration, route: Route, facts: RequestFacts
 ) -> Customer | UnknownKey | None:
-    """Return the customer of a request; ``None`` where none is needed."""
+    """Return the customer of a request; ``None`` if the request doesn't need one."""
     if configuration.customers_by_key is None:
         return None
     customer = configuration.customers_by_key.get(facts.key) if facts.key else None
@@ -61,7 +61,7 @@
 
 
 def choose_service(shares: tuple[ServiceShare, ...], draw: float) -> str:
-    """Return a service by weight.
+    """Return a service, chosen in proportion to the weights.
 
     Parameters
     ----------
--- a/packages/proxy/src/sassafrastally/proxy/server_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/server_limits.py
@@ -1,8 +1,8 @@
-"""What each backend server last said of the requests that it takes, whoever heard it.
+"""Latest rate limit of each backend server, from its own answers or reported by peers.
 
-The load that it answers: a server names a limit for some seconds, and seventy entries hear of it at
-different times, by its answers and by each other. All must soon believe its latest word: an old one
-that goes round would keep a server unused that has long recovered.
+A server can state a rate limit for some seconds, and seventy entries learn of it at different
+times, from its answers and from each other. All entries must converge on the latest limit: an
+outdated one that keeps circulating would leave a server unused long after it has recovered.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
     from collections.abc import Mapping
 
 NEWS_SHARE = 0.2
-"""Change of a limit, as a share of it, from which on it is news."""
+"""Relative change of a limit from which peers are notified at once."""
 
 HEARSAY_ERROR_S = 0.25
-"""By how much more recent the word that a peer tells must be. The age of what is told lacks the
-time of its way, so that a word seems a little newer each time that it comes back."""
+"""A limit reported by a peer replaces the known one only if it is newer by this time. Its age
+doesn't include the network delay, so a limit appears a little newer each time it is relayed."""
 
 ENDED_TOLD_S = 5.0
-"""How long peers are told that a server no longer names a limit."""
+"""How long peers are sent a tombstone for a limit that has ended."""
 
 FORGOTTEN_S = 600.0
-"""How long a word is remembered that nobody repeats."""
+"""How long a limit is kept without being confirmed."""
 
 
 class LimitChange(Enum):
-    """What a word of a server changes."""
+    """Significance of a change of a server's limit."""
 
     NOTHING = "nothing"
     SMALL = "small"
-    """The limit differs a little. A server may state it afresh with each answer; told at once, each
-    would cause datagrams and a line of the log."""
+    """The limit changes slightly. A server can state a new limit in each answer; if peers were
+    notified of each at once, each would cause datagrams and a log line."""
     NEWS = "news"
 
 
 class _Word(NamedTuple):
     most_per_s: float | None
-    """``None``: it no longer names a limit."""
+    """``None`` if the limit has ended."""
     heard_s: float
     noted_per_s: float | None
-    """The limit that was last news."""
+    """The limit at the latest change of kind `LimitChange.NEWS`."""
 
 
 class ServerLimits:
-    """Limits by hash of the server's life."""
+    """Rate limits by hash of the server's ``life_id``."""
 
     def __init__(self) -> None:
         self._words: dict[int, _Word] = {}
@@ -57,22 +57,22 @@
         return bool(self._words)
 
     def count(self) -> int:
-        """Return how many servers name a limit."""
+        """Return the number of servers with a limit."""
         return sum(1 for word in self._words.values() if word.most_per_s is not None)
 
     def of(self, key: int) -> float | None:
-        """Return the requests a second that a server takes; ``None`` without a limit."""
+        """Return the requests per second that a server accepts; ``None`` without a limit."""
         word = self._words.get(key)
         return word.most_per_s if word else None
 
     def hear(self, key: int, most_per_s: float | None, now_s: float) -> LimitChange:
-        """Take a server's own word; ``None`` is that it names no limit."""
+        """Record the limit in a server's answer; ``None`` if the answer has none."""
         if most_per_s is None and key not in self._words:
             return LimitChange.NOTHING
         return self._take(key, most_per_s, now_s)
 
     def hear_from_peer(self, key: int, news: LimitNews, now_s: float) -> LimitChange:
-        """Take what a peer tells."""
+        """Record a limit that a peer has reported."""
         known = self._words.get(key)
         heard_s = now_s - news.age_s
         if known is not None and heard_s <= known.heard_s + HEARSAY_ERROR_S:
@@ -80,7 +80,7 @@
         return self._take(key, news.most_per_s, heard_s)
 
     def news(self, now_s: float) -> Mapping[int, LimitNews]:
-        """Return what peers are told, the latest first."""
+        """Return the limits and tombstones to send to peers, the latest first."""
         self._words = {
             key: word for key, word in self._words.items() if now_s - word.heard_s < FORGOTTEN_S
         }
--- a/packages/proxy/src/sassafrastally/proxy/sharing.py
+++ b/packages/proxy/src/sassafrastally/proxy/sharing.py
@@ -1,9 +1,9 @@
-"""Which entries tell each other what, by their number and their data centres.
+"""Topology of the load exchange: which entries send each other which reports.
 
-The load that it answers: 68 entries in five data centres. If each told each other one all it knows,
-datagrams would grow with the square of the entries, and most of their bytes would pass between data
-centres. Entries of one data centre place on the same engines and need each other's latest choices;
-to the others a sum, a little older, says as much.
+With 68 entries in five data centres, a full mesh of reports would cause a number of datagrams that
+grows with the square of the entries, and most of the traffic would cross data centres. Entries of
+one data centre place requests on the same engines and need each other's latest placements. For the
+other data centres a slightly older sum of the data centre's work is sufficient.
 """
 
 from __future__ import annotations
@@ -18,49 +18,51 @@
     from sassafrastally.proxy.load import Work
 
 MOST_TOLD = 25
-"""Peers up to which each entry tells all others itself. With more of them each would hear so seldom
-of each other that a sum is as fresh."""
+"""Most peers with which each entry reports to all others directly. With more peers, the reports
+would be so rare that the sum of a data centre is as recent."""
 
 RELAYS = 2
-"""Entries of a data centre that tell the others its sum. When one dies, the other one's goes on."""
+"""Entries of a data centre that send its sum to the other data centres, so that the sum still
+arrives when one of them fails."""
 
 PROBERS = 6
-"""Entries that try a store which answers nobody. The first that is answered tells all others; with
-so many a store that turns some entries away is found too."""
+"""Entries that probe an unavailable store. The first one that gets an answer notifies all others.
+Several are needed to notice a store that is available again but rejects some entries."""
 
 FAR_NEWS_MS = 250.0
-"""Reading on one engine of which other data centres hear at once: what is shorter is over when they
-would act on it, since they hear of it a quarter of a second later anyway."""
+"""Prefill time on one engine from which other data centres are notified at once. Shorter prefills
+are over by the time they could react: regular reports reach them within a quarter of a second."""
 
 
 class Member(NamedTuple):
-    """An entry of a data centre, as one that may tell its sum."""
+    """An entry of a data centre, as a candidate for sending the data centre's sum."""
 
     host: str
     link_mbps: int
-    """Speed of its link, megabits a second."""
+    """Link speed in megabits per second."""
     is_stopping: bool = False
 
 
 def tells_all(peers: int) -> bool:
-    """Return whether an entry tells each of that many peers itself."""
+    """Return whether an entry reports directly to each of that many peers."""
     return peers <= MOST_TOLD
 
 
 def is_first(own: Member, others: Iterable[Member], count: int) -> bool:
-    """Return whether an entry is among the first of several, fastest links first.
+    """Return whether an entry is among the first of several, ordered by link speed.
 
-    All choose alike, so that nobody has to appoint the relays of a data centre: the fastest links
-    do it, since a sum goes to every entry of the other data centres.
+    All entries compute the same order, so the relays of a data centre needn't be elected. The
+    entries with the fastest links are chosen, since a sum is sent to every entry of the other data
+    centres.
 
     Parameters
     ----------
     own
         The entry.
     others
-        The other live ones.
+        The other live entries.
     count
-        How many are chosen.
+        Number of entries to choose.
     """
     own_rank = link_rank(own.host, own.link_mbps)
     before = sum(
@@ -72,14 +74,14 @@
 
 
 def is_news_afar(known: Mapping[int, Work], told: Mapping[int, Work]) -> bool:
-    """Return whether an entry has begun to read a prompt for which other data centres can't wait.
+    """Return whether an entry has started a prefill that other data centres must learn of at once.
 
     Parameters
     ----------
     known
-        Its work as it told it before, by engine.
+        Its previously reported work by engine.
     told
-        Its work now.
+        Its current work by engine.
     """
     return any(
         work.reading_ms >= FAR_NEWS_MS
@@ -89,5 +91,5 @@
 
 
 def link_rank(host: str, link_mbps: int) -> tuple[int, int]:
-    """Return the place of an entry in the order in which duties are taken: fastest links first."""
+    """Return the sort key for the assignment of duties: fastest links first."""
     return -link_mbps, server_hash(host)
--- a/packages/proxy/src/sassafrastally/proxy/short_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/short_placement.py
@@ -1,7 +1,7 @@
-"""Which engine answers a short prompt.
+"""Placement of short prompts: which engine answers them.
 
-The load that it answers: bursts of 50 to 150 short prompts a second over several entries that hear
-of each other's choices a moment later, beside engines that read long ones.
+Handles bursts of 50 to 150 short prompts per second over several entries that learn of each other's
+placements with a delay, next to engines that prefill long prompts.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
 WINDOW_SHARE = 4.0
-"""Engines among which a short request is drawn, for each one that others have placed unheard."""
+"""Number of engines to draw from, per short request that other entries are estimated to have placed
+since their latest reports."""
 
 
 def place_short(
@@ -40,14 +41,14 @@
     limits: ReadingLimits,
     scatter: Scatter,
 ) -> Placement | None:
-    """Return the engine for a short prompt.
+    """Return the placement of a short prompt; ``None`` when no engine has room.
 
-    Engines are filled from the end of the order, one after the other, as long as they have few
-    requests and little to read. The long lane begins at the other end; when it grows, it finds
-    engines on which no short request is under way.
+    Engines are filled one after the other from the end of the order, as long as they have few
+    requests and a small prefill backlog. The long lane starts at the other end, so that it grows
+    into engines without short requests.
 
-    When the mix turns from long to short, the engines that the lane gains are still reading. An
-    engine of the long lane that reads nothing is then better than those.
+    When the mix changes from long to short prompts, the engines added to the short lane still
+    prefill long prompts. An engine of the long lane without a prefill backlog is then preferred.
     """
     own_ms = reading_ms(figures, prompt.prompt_tokens)
     fitting = [view for view in reversed(lanes.short) if has_room(view, prompt, figures)]
@@ -71,10 +72,10 @@
     limits: ReadingLimits,
     scatter: Scatter,
 ) -> list[ServerView]:
-    """Return engines in the order in which they are taken.
+    """Return the engines in the order of preference, the first of them randomized.
 
-    Those that aren't busy come first. Among the first of them the order is drawn: of two at a time
-    the one with fewer requests.
+    Engines that aren't busy come first. Among the first ones, the order is drawn by the power of
+    two choices: of two random engines the one with fewer requests is next.
     """
     ranked = sorted(fitting, key=lambda view: _short_rank(view, figures, limits))
     if not ranked:
@@ -97,7 +98,7 @@
 def _short_rank(
     view: ServerView, figures: EngineFigures, limits: ReadingLimits
 ) -> tuple[bool, float]:
-    """Return the rank of an engine: all that aren't busy alike, then by the first event's time."""
+    """Return the sort key of an engine: equal if not busy, else by the time to the first event."""
     is_full = view.work.requests >= SHORT_FILL * figures.slots
     is_busy = is_full or view.work.reading_ms > limits.short_part_ms
     return is_busy, first_event_ms(view, 0.0, figures) if is_busy else 0.0
--- a/packages/proxy/src/sassafrastally/proxy/slowness.py
+++ b/packages/proxy/src/sassafrastally/proxy/slowness.py
@@ -1,7 +1,7 @@
-"""Engines that work several times slower than their figures.
+"""Detection of engines that are several times slower than their figures, from their events.
 
-The load that it answers: an eighth of the engines turn four times slower for some seconds. They
-answer, so nothing fails; but a dossier that is read in parts waits for its slowest part.
+An eighth of the engines can become four times slower for some seconds. They still answer, so no
+request fails, but a long prompt that is prefilled in parts waits for its slowest part.
 """
 
 from __future__ import annotations
@@ -14,35 +14,34 @@
     from sassafrastally.proxy.model import EngineFigures
 
 SLOW_FACTOR = 2.0
-"""An event that takes this many times the longest pass without reading came from a slow engine, or
-from one that reads. Usual events take a half to one and a half times that pass."""
+"""An event that takes this many times the longest pass without prefill indicates a slow engine or
+one that prefills. Usual events take 0.5 to 1.5 times that pass."""
 
 SLOW_EVENTS = 4
-"""Slow events in a row that count. Reading that this process hasn't heard of yet makes one or two;
-lost packets on a link delay single ones."""
+"""Consecutive slow events from which an engine counts as slow. Prefill that this process doesn't
+know of yet causes one or two, and packet loss on a link delays single events."""
 
 LEFT_ALONE_S = 3.0
-"""How long a slow engine is left alone before requests try it again: several of its requests' time.
-"""
+"""How long a slow engine is ejected before it gets requests again: several request durations."""
 
 MOST_SHARE = 0.25
-"""Share of a service's engines that may be left alone for slowness. When more seem slow it is this
-process or its link, or the service as a whole; without them the others would be flooded."""
+"""Largest share of a service's engines that are ejected for slowness. If more seem slow, the cause
+is this process, its link or the whole service, and ejecting them would overload the others."""
 
 
 class Slowness:
-    """Slow events in a row by backend server."""
+    """Outlier detection by consecutive slow events of each backend server."""
 
     def __init__(self) -> None:
         self._in_a_row: dict[str, int] = {}
         self._until_s: dict[str, float] = {}
 
     def note_usual(self, life_id: str) -> None:
-        """Note an event that came in its usual time."""
+        """Note an event that arrived in the usual time."""
         self._in_a_row.pop(life_id, None)
 
     def note_slow(self, life_id: str, servers: int, now_s: float) -> bool:
-        """Note a slow event that no reading explains; return whether to leave its engine alone.
+        """Note a slow event not caused by known prefill; return whether its engine is ejected.
 
         Parameters
         ----------
@@ -68,11 +67,11 @@
             del self._in_a_row[life_id]
 
     def slow_servers(self, now_s: float) -> dict[str, float]:
-        """Return the engines to be left alone, with the seconds left."""
+        """Return the ejected engines with the remaining time in seconds."""
         self._until_s = {key: until for key, until in self._until_s.items() if until > now_s}
         return {key: until - now_s for key, until in self._until_s.items()}
 
 
 def slow_event_time_s(figures: EngineFigures) -> float:
-    """Return the time from which on an event of an engine that doesn't read is slow."""
+    """Return the time from which an event is slow on an engine that doesn't prefill."""
     return SLOW_FACTOR * pass_ms(figures, figures.slots, figures.memory_tokens) / 1000
--- a/packages/proxy/src/sassafrastally/proxy/suspicion.py
+++ b/packages/proxy/src/sassafrastally/proxy/suspicion.py
@@ -1,7 +1,7 @@
-"""Which backend servers get no work for a while, by what their answers show.
+"""Outlier ejection: backend servers that get no requests for a while after failures.
 
-The load that it answers: a server that answers its health check but fails, hangs or is slow. It
-looks idle, so that a choice by load alone sends it ever more work.
+A server can pass its health check and still fail requests, hang or be slow. It looks idle, so
+placement by load alone would send it more and more requests.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 from typing import NamedTuple
 
 FIRST_TIME_S = 1.0
-"""How long a server is left alone after a first failure: longer than a restart of its connections,
-short enough to find a crashed one that is back."""
+"""First ejection time of a server: longer than reconnecting takes, and short enough to notice soon
+that a crashed server is back."""
 
 LONGEST_TIME_S = 8.0
-"""Longest time between two probes; the time doubles with each failure in a row."""
+"""Longest ejection time; the time doubles with each consecutive failure."""
 
 FAILURES_IN_A_ROW = 2
-"""Failed answers in a row that make a server suspect. One alone is usual: plain services fail some
-of their requests in good health."""
+"""Consecutive failed answers from which a server is suspect. A single failure is normal: healthy
+servers of plain services fail some of their requests."""
 
 
 class _Record(NamedTuple):
@@ -27,18 +27,18 @@
 
 
 class Suspicion:
-    """Failures by backend server."""
+    """Consecutive failures and ejection times by backend server."""
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
     def is_suspect(self, life_id: str, now_s: float) -> bool:
-        """Return whether the server is to be left alone."""
+        """Return whether the server is ejected."""
         record = self._records.get(life_id)
         return record is not None and now_s < record.until_s
 
     def suspects(self, now_s: float) -> dict[str, float]:
-        """Return the servers to be left alone, with the seconds left."""
+        """Return the ejected servers with the remaining time in seconds."""
         return {
             life_id: record.until_s - now_s
             for life_id, record in self._records.items()
@@ -46,11 +46,11 @@
         }
 
     def succeeded(self, life_id: str) -> None:
-        """Note a good answer: all failures are forgotten."""
+        """Note a successful answer, which clears the failures."""
         self._records.pop(life_id, None)
 
     def failed(self, life_id: str, now_s: float, *, is_clear: bool) -> float:
-        """Note a failure; return for how long the server is suspect, 0 if it isn't.
+        """Note a failure; return how long the server is ejected, 0 if it isn't.
 
         Parameters
         ----------
@@ -59,7 +59,7 @@
         now_s
             Present time.
         is_clear
-            Whether one failure is enough: nobody answers at its address.
+            Whether a single failure is sufficient, as when nothing listens at its address.
         """
         record = self._records.get(life_id, _Record())
         failures = record.failures + 1
--- a/packages/proxy/src/sassafrastally/proxy/turning_away.py
+++ b/packages/proxy/src/sassafrastally/proxy/turning_away.py
@@ -1,52 +1,52 @@
-"""Which callers are turned away, and when they are asked to come back.
+"""Load shedding: which callers are rejected, and after which delay they are asked to retry.
 
-The load that it answers: a burst of several times what the engines can take, for some seconds. All
-who are turned away at once and told the same short time come back at once, in the same burst, and
-are turned away for good. They are spread over the later part of the time that they would wait at
-most, so that the engines meet them one after the other when the burst is likely over.
+In a burst of several times the capacity of the engines for some seconds, callers that are rejected
+together and told the same short delay retry together, within the same burst, and are rejected for
+good. Their retries are therefore spread over the later part of the longest time that they wait, so
+that they arrive one after the other when the burst is likely to be over.
 """
 
 from __future__ import annotations
 
 EARLIEST_SHARE = 0.2
 LATEST_SHARE = 0.32
-"""Shares of the caller's time left between which it is asked to come back. Callers honour up to a
-third; a short time leads back into the same burst."""
+"""Range of the retry delay, as shares of the caller's time left. Callers honour up to a third, and
+a short delay leads back into the same burst."""
 
 LEAST_S = 0.02
-"""Shortest time; anything less is the way there and back."""
+"""Shortest retry delay; anything less is within the network round trip."""
 
 NO_TIME_LIMIT_S = 10.0
-"""Time left that is assumed for a caller that doesn't say; the usual limit of routes."""
+"""Assumed time left of a caller that doesn't state one: the usual time limit of routes."""
 
 
 def is_hopeless(predicted_s: float, patience_s: float, time_left_s: float | None) -> bool:
-    """Return whether a caller would have left before its answer begins.
+    """Return whether a caller would disconnect before its answer starts.
 
-    The load that it answers: dossiers of many minutes' reading in a row, so that one more would
-    begin to be answered after its caller's time. Sent on, it would hold engines up for nobody, and
-    its caller would learn of it only when its time is over.
+    With long prompts of many minutes of prefill queued, the answer to one more can start only after
+    its caller's time limit. Sent on, it would occupy engines without any use, and its caller would
+    learn of the failure only after the time limit.
 
     Parameters
     ----------
     predicted_s
         Predicted time to the first event.
     patience_s
-        Silence after which the caller leaves.
+        Time without an event after which the caller disconnects.
     time_left_s
-        How long it would wait for the whole answer; ``None`` without limit.
+        How long the caller waits for the whole answer; ``None`` without a limit.
     """
     waits_s = patience_s if time_left_s is None else min(patience_s, time_left_s)
     return predicted_s > waits_s
 
 
 def come_back_after_s(time_left_s: float | None, draw: float) -> float:
-    """Return after how long a caller should come back.
+    """Return the delay after which a caller should retry.
 
     Parameters
     ----------
     time_left_s
-        How long it would wait for its answer.
+        How long the caller waits for its answer; ``None`` without a limit.
     draw
         Random number from 0 to 1.
     """
--- a/packages/proxy/src/sassafrastally/proxy/unseen.py
+++ b/packages/proxy/src/sassafrastally/proxy/unseen.py
@@ -1,8 +1,8 @@
-"""Requests at backend servers that no entry tells of.
+"""Requests at backend servers that no entry has reported.
 
-The load that it answers: an entry is cut off from its peers and goes on serving callers. Neither
-side counts the other's requests, and both fill the same engines. Answers carry the number of
-requests at their server; what it exceeds the known ones by is somebody's whom nobody hears.
+An entry that is partitioned from its peers continues to serve callers. Neither side counts the
+other's requests, and both fill the same engines. Answers state the number of requests at their
+server; the excess over the known number comes from entries that can't be reached.
 """
 
 from __future__ import annotations
@@ -13,11 +13,10 @@
     from sassafrastally.proxy.model import ServerLoad
 
 FRESH_S = 1.0
-"""How long a count is believed: about half of a short answer's length."""
+"""How long a count is valid: about half the duration of a short answer."""
 
 TOLERANCE = 1
-"""Requests by which a count may exceed the known ones without meaning: what peers have sent within
-the last datagram's time."""
+"""Excess of requests that is ignored: those that peers have sent since their latest datagram."""
 
 
 class _Count(NamedTuple):
@@ -26,13 +25,13 @@
 
 
 class UnseenRequests:
-    """The latest excess by backend server."""
+    """Latest excess of requests by backend server."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Count] = {}
 
     def note(self, life_id: str, load: ServerLoad, known: int, now_s: float) -> None:
-        """Note the load that an answer told, beside the requests known there."""
+        """Note the load stated in an answer, given the number of known requests."""
         excess = load.running + load.waiting - known - TOLERANCE
         if excess > 0:
             self._counts[life_id] = _Count(excess, now_s)
@@ -40,7 +39,7 @@
             self._counts.pop(life_id, None)
 
     def forget_old(self, now_s: float) -> None:
-        """Forget counts that nobody would believe any more, also of servers that have left."""
+        """Forget expired counts, which also removes servers that have left."""
         self._counts = {
             life_id: count
             for life_id, count in self._counts.items()
@@ -48,6 +47,6 @@
         }
 
     def at(self, life_id: str, now_s: float) -> int:
-        """Return the requests at a server that nobody tells of."""
+        """Return the number of unreported requests at a server."""
         count = self._counts.get(life_id)
         return count.requests if count and now_s - count.at_s < FRESH_S else 0
--- a/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
+++ b/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts whose first event is still due, and what they hear of the engines that read for them."""
+"""Attempts that wait for their first event, and their notification of slow engines."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class WaitingAttempt:
-    """An attempt whose first event is still due.
+    """An attempt that waits for its first event.
 
     Attributes
     ----------
     life_ids
-        Engines that read its prompt.
+        Engines that prefill its prompt.
     begin_s
-        When it began.
+        Start time of the attempt.
     predicted_s
-        Time to the first event that was predicted then.
+        Time to the first event that was predicted at the start.
     waiting
-        Covers the wait for the answer's header.
+        Cancel scope of the wait for the header of the answer.
     """
 
     def __init__(
@@ -43,27 +43,27 @@
         self.predicted_s = predicted_s
         self.waiting = waiting
         self.on_slow = on_slow
-        """Called with the pace of the slowest engine, again and again while one is slow."""
+        """Called repeatedly with the pace of the slowest engine while an engine is slow."""
         self.fingerprint = fingerprint
-        """Names its request across its caller's retries."""
+        """Identifies its request across the retries of its caller."""
         self.moving_reason = ""
-        """Why it was given up, for another place or for good; empty if it wasn't."""
+        """Why it was cancelled, to move its prompt or for good; empty if it wasn't."""
 
     def give_up(self, reason: str) -> None:
-        """End the wait, so that the prompt can be read elsewhere."""
+        """Cancel the wait, so that the prompt can be moved to other engines."""
         self.moving_reason = reason
         self.waiting.cancel()
 
 
 class WaitingAttempts:
-    """Those of this process."""
+    """All waiting attempts of this process."""
 
     def __init__(self) -> None:
         self._attempts: set[WaitingAttempt] = set()
 
     @contextmanager
     def hold(self, attempt: WaitingAttempt) -> Iterator[None]:
-        """Tell an attempt of slow engines while the block runs."""
+        """Register an attempt for notification of slow engines while the block runs."""
         self._attempts.add(attempt)
         try:
             yield
@@ -71,7 +71,7 @@
             self._attempts.discard(attempt)
 
     def doubted(self, now_s: float) -> set[str]:
-        """Return the engines on which late first events wait."""
+        """Return the engines of attempts whose first event is overdue."""
         return {
             life_id
             for attempt in self._attempts
@@ -80,17 +80,18 @@
         }
 
     def give_up_request(self, fingerprint: int) -> None:
-        """Give up the attempts of a request that is quarantined: none of its servers runs it yet.
+        """Cancel the attempts of a quarantined request that no server runs yet.
 
-        Many callers may ask for the same at once. What still waits for a slot would crash its
-        server as soon as it gets one; its connection closed, the server drops it.
+        Several callers can send the same request at once. An attempt that still waits for a slot
+        would crash its server as soon as it gets one. Once its connection is closed, the server
+        drops it.
         """
         for attempt in list(self._attempts):
             if attempt.fingerprint == fingerprint:
                 attempt.give_up("its request is quarantined")
 
     def tell(self, paces: Mapping[str, float]) -> None:
-        """Tell the attempts that wait for a slow engine's part."""
+        """Notify the attempts that wait for a part on a slow engine."""
         for attempt in list(self._attempts) if paces else ():
             pace = slowest(paces, attempt.life_ids)
             if pace >= SLOW_PACE:
