--- a/packages/proxy/benchmarks/decisions.py
+++ b/packages/proxy/benchmarks/decisions.py
@@ -1,8 +1,9 @@
-"""Processor time of decisions and datagrams at a given size.
+"""Benchmark of the CPU time of decisions and datagrams for a given deployment size.
 
     python packages/proxy/benchmarks/decisions.py --entries 68 --engines 195 --centres 5
 
-prints the median of one decision in milliseconds, by kind, and the bytes and times of one datagram.
+prints the median time of a decision in milliseconds, by kind, and the size and the encoding and
+decoding times of one datagram.
 """
 
 from __future__ import annotations
@@ -58,16 +59,16 @@
 
 
 class Fleet(NamedTuple):
-    """Engines, and what an entry hears of their work."""
+    """Engines, and the load reports that an entry has of them."""
 
     servers: Sequence[BackendServer]
     loads: Sequence[Mapping[int, Work]]
     near: Sequence[BackendServer]
-    """Those among which a short prompt is placed first."""
+    """Engines that are tried first for a short prompt."""
 
 
 def make_fleet(entries: int, engines: int, centres: int, draw: random.Random) -> Fleet:
-    """Return engines of which each entry uses five, and one works on a long prompt."""
+    """Return a fleet in which each entry uses five engines; every sixth entry has a long prompt."""
     servers = [
         BackendServer(f"i-{n:08x}", "m", Address("10.0.0.1", n + 1), f"dc-{n % centres}", 5, False)
         for n in range(engines)
@@ -86,13 +87,13 @@
 def views(
     servers: Sequence[BackendServer], loads: Sequence[Mapping[int, Work]]
 ) -> list[ServerView]:
-    """Return what a decision sees."""
+    """Return the known state of the engines for a decision."""
     work = merge({}, loads)
     return [ServerView(server, work.at(server.life_id)) for server in servers]
 
 
 def median_ms(call: Callable[[], object]) -> float:
-    """Return the median time of a call."""
+    """Return the median CPU time of a call."""
     call()
     times = []
     for _ in range(ROUNDS):
@@ -103,7 +104,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=68)
     parser.add_argument("--engines", type=int, default=195)
--- a/packages/proxy/benchmarks/rate_shares.py
+++ b/packages/proxy/benchmarks/rate_shares.py
@@ -1,4 +1,4 @@
-"""Ways to share out what servers take from all entries together, and what the one in use costs.
+"""Benchmark of policies that share a server's rate limit, and the cost of the one in use.
 
 Run: ``python packages/proxy/benchmarks/rate_shares.py``
 """
@@ -18,30 +18,30 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
-    Way = Callable[[str, float, str, Collection[str]], float]
+    Policy = Callable[[str, float, str, Collection[str]], float]
 
 MOST_PER_S = 1.0
 SERVERS = 20
 LOAD = 0.7
-"""Requests offered, of what all servers take."""
+"""Offered requests as a share of the limits of all servers."""
 
 LENGTH_S = 60.0
 STEP_S = 0.05
 
 
-def by_itself(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
-    """Return the whole limit: each entry keeps it for itself."""
+def whole_limit(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
+    """Return the whole limit: each entry applies it separately."""
     return most_per_s
 
 
-def all_alike(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
-    """Return an equal part for each entry."""
+def equal_share(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
+    """Return an equal share for each entry."""
     return most_per_s / (1 + len(others))
 
 
-WAYS: dict[str, Way] = {
-    "each by itself": by_itself,
-    "all alike": all_alike,
+POLICIES: dict[str, Policy] = {
+    "whole limit": whole_limit,
+    "equal share": equal_share,
     "few senders": own_share_per_s,
 }
 
@@ -51,10 +51,10 @@
     return [f"10.{number % 3}.0.{number}" for number in range(count)]
 
 
-def most_of_greedy(way: Way, hosts: list[str]) -> int:
-    """Return the most requests that a server gets in a window when all entries want to send."""
+def max_greedy_requests(policy: Policy, hosts: list[str]) -> int:
+    """Return the most requests that a server gets in a window if all entries always send."""
     sent = {host: SentRequests() for host in hosts}
-    shares = {host: way("e", MOST_PER_S, host, set(hosts) - {host}) for host in hosts}
+    shares = {host: policy("e", MOST_PER_S, host, set(hosts) - {host}) for host in hosts}
     sent_s: list[float] = []
     for step in range(int(LENGTH_S / STEP_S)):
         now_s = step * STEP_S
@@ -65,12 +65,12 @@
     return most_in_window(sent_s, 0.0)
 
 
-def served_share(way: Way, hosts: list[str], seed: int) -> float:
-    """Return the share of drawn requests that the entry they reach may send on at once."""
+def served_share(policy: Policy, hosts: list[str], seed: int) -> float:
+    """Return the share of random requests that their entry can send at once."""
     draw = random.Random(seed)
     others = {host: set(hosts) - {host} for host in hosts}
     shares = {
-        (host, server): way(f"e{server}", MOST_PER_S, host, others[host])
+        (host, server): policy(f"e{server}", MOST_PER_S, host, others[host])
         for host in hosts
         for server in range(SERVERS)
     }
@@ -88,13 +88,13 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the benchmark and print the results."""
     print(f"limit {MOST_PER_S:g}/s, {allowed(MOST_PER_S):g} allowed in 4 s; {SERVERS} servers")
     for entries in (1, 5, 27, 68, 340):
         hosts = hosts_of(entries)
-        for name, way in WAYS.items():
-            served = statistics.mean(served_share(way, hosts, seed) for seed in range(3))
-            most = most_of_greedy(way, hosts)
+        for name, policy in POLICIES.items():
+            served = statistics.mean(served_share(policy, hosts, seed) for seed in range(3))
+            most = max_greedy_requests(policy, hosts)
             print(f"{entries:4} entries, {name:15} at most {most:4}, served {served:.2f}")
     hosts = set(hosts_of(340))
     share_us = median_us(lambda: own_share_per_s("e", MOST_PER_S, "10.9.9.9", hosts), 200)
--- a/packages/proxy/src/sassafrastally/proxy/admission.py
+++ b/packages/proxy/src/sassafrastally/proxy/admission.py
@@ -16,18 +16,18 @@
 if TYPE_CHECKING:
     from sassafrastally.proxy.plan import Placement
 
-SHORT_WAIT_SHARE = 0.5
+MAX_SHORT_WAIT_SHARE = 0.5
 """Largest share of its goal that a short prompt predicted to be late may wait for other work."""
 
-FREE_SHARE = 0.1
+ALWAYS_ACCEPTED_BACKLOG_SHARE = 0.1
 """Prefill backlog below which every long prompt is accepted, per engine of the long lane and as a
 share of the longest goal."""
 
-FULL_SHARE = 0.4
+MAX_BACKLOG_SHARE = 0.4
 """Prefill backlog above which no long prompt is accepted, as a share of the longest goal. Engines
 prefill the newest part first, so a prompt accepted beyond this limit delays others, not itself."""
 
-OWN_WEIGHT = 3.0
+OWN_PREFILL_WEIGHT = 3.0
 """Weight of a long prompt's own prefill time relative to the backlog. The larger a prompt, the more
 other requests it makes late in order to be in time itself."""
 
@@ -58,14 +58,14 @@
 
 def _short_reason(plan: Placement, goal_s: float) -> str:
     wait_s = plan.predicted_s - plan.alone_s
-    if plan.predicted_s <= goal_s or wait_s <= SHORT_WAIT_SHARE * goal_s:
+    if plan.predicted_s <= goal_s or wait_s <= MAX_SHORT_WAIT_SHARE * goal_s:
         return ""
     return f"first event in {plan.predicted_s:.2f} s, {wait_s:.2f} s of it behind other work"
 
 
 def _long_reason(plan: Placement, longest_goal_s: float) -> str:
-    if plan.backlog_s <= FREE_SHARE * longest_goal_s:
+    if plan.backlog_s <= ALWAYS_ACCEPTED_BACKLOG_SHARE * longest_goal_s:
         return ""
-    if plan.backlog_s + OWN_WEIGHT * plan.own_s <= FULL_SHARE * longest_goal_s:
+    if plan.backlog_s + OWN_PREFILL_WEIGHT * plan.own_s <= MAX_BACKLOG_SHARE * longest_goal_s:
         return ""
     return f"{plan.backlog_s:.2f} s of reading under way for each engine, {plan.own_s:.2f} s more"
--- a/packages/proxy/src/sassafrastally/proxy/apart.py
+++ b/packages/proxy/src/sassafrastally/proxy/apart.py
@@ -21,11 +21,11 @@
 
     from sassafrastally.proxy.lanes import ServerView
 
-MOST_DEALT = 16
+MAX_ASSIGNED_REQUESTS = 16
 """Most requests that are assigned together: those that a server runs and those in its queue. The
 limit bounds the cost, as each assigned request scans all servers."""
 
-MASK = (1 << 64) - 1
+UINT64_MASK = (1 << 64) - 1
 
 
 def dealt_server(
@@ -46,36 +46,38 @@
         Number of crashes by fingerprint, for this request and for those that were on the same
         crashed servers, the latest first.
     """
-    left = list(views)
-    kept_off: set[str] = set()
+    unassigned = list(views)
+    taken_life_ids: set[str] = set()
     """Servers assigned to requests with more crashes."""
-    turns = _turns(fingerprint, suspects)
-    has_rivals = sum(suspects[one] > 1 for one in turns) > 1
-    for one in turns:
-        idle = [view for view in left if not view.work.suspect_requests]
+    assignment_order = _assignment_order(fingerprint, suspects)
+    has_repeated_suspects = sum(suspects[one] > 1 for one in assignment_order) > 1
+    for one in assignment_order:
+        idle = [view for view in unassigned if not view.work.suspect_requests]
         # Entries can briefly disagree on which servers are idle. Requests with more than one crash
         # ignore idleness, so that all entries still assign them to different servers.
-        choice = left if has_rivals and suspects[one] > 1 else idle or left
-        if not choice:
+        candidates = (
+            unassigned if has_repeated_suspects and suspects[one] > 1 else idle or unassigned
+        )
+        if not candidates:
             break
-        dealt = min(choice, key=lambda view: _rank(one, view))
+        assigned = min(candidates, key=lambda view: _rank(one, view))
         if one == fingerprint:
-            return [dealt]
-        left.remove(dealt)
+            return [assigned]
+        unassigned.remove(assigned)
         if suspects[one] > suspects[fingerprint]:
-            kept_off.add(dealt.server.life_id)
-    return [view for view in views if view.server.life_id not in kept_off] or list(views)
+            taken_life_ids.add(assigned.server.life_id)
+    return [view for view in views if view.server.life_id not in taken_life_ids] or list(views)
 
 
-def _turns(fingerprint: int, suspects: Mapping[int, int]) -> list[int]:
+def _assignment_order(fingerprint: int, suspects: Mapping[int, int]) -> list[int]:
     """Return the requests to assign, in the same order at all entries."""
-    most = sorted(suspects, key=lambda one: -suspects[one])[:MOST_DEALT]
-    return sorted({fingerprint, *most}, key=lambda one: (-suspects[one], one))
+    most_crashed = sorted(suspects, key=lambda one: -suspects[one])[:MAX_ASSIGNED_REQUESTS]
+    return sorted({fingerprint, *most_crashed}, key=lambda one: (-suspects[one], one))
 
 
 def _rank(fingerprint: int, view: ServerView) -> int:
     """Return the rank of a server for a request, a mix of both hashes (rendezvous hashing)."""
-    mixed = (fingerprint ^ server_hash(view.server.life_id)) & MASK
-    mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9 & MASK
-    mixed = (mixed ^ (mixed >> 27)) * 0x94D049BB133111EB & MASK
+    mixed = (fingerprint ^ server_hash(view.server.life_id)) & UINT64_MASK
+    mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9 & UINT64_MASK
+    mixed = (mixed ^ (mixed >> 27)) * 0x94D049BB133111EB & UINT64_MASK
     return mixed ^ (mixed >> 31)
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -21,7 +21,7 @@
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.rate_shares import (
     LEAST_PER_S,
-    ReturnTimes,
+    RetrySchedule,
     SentRequests,
     own_share_per_s,
 )
@@ -35,10 +35,10 @@
     from sassafrastally.proxy.limit_news import LimitNews
     from sassafrastally.proxy.model import BackendServer, ServerAsks
 
-RESTED_PER_S = 20.0
+ASSUMED_LIMIT_PER_S = 20.0
 """Assumed requests per second of a server without a stated limit once its cool-down is over."""
 
-OWN_WORD = "answer"
+OWN_SOURCE = "answer"
 """Log source of limits that this entry has received in an answer."""
 
 
@@ -71,7 +71,7 @@
         self._shares: dict[str, float] = {}
         """Cache of this entry's shares by server; valid until the entries or the limits change."""
         self._shared_among: set[str] = set()
-        self._return_times = ReturnTimes()
+        self._retry_schedule = RetrySchedule()
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Resolve the services that provide the servers and the peers."""
@@ -81,7 +81,7 @@
 
     def gauges(self) -> dict[str, float]:
         """Return the number of servers by kind of backpressure."""
-        self._cool_downs.forget_over(self._now_s)
+        self._cool_downs.forget_expired(self._now_s)
         return {
             "limited_servers": self._limits.count(),
             "resting_servers": len(self._cool_downs),
@@ -101,8 +101,8 @@
     def note_answer(self, server: BackendServer, asks: ServerAsks) -> None:
         """Note the backpressure signals in a server's answer."""
         key = server_hash(server.life_id)
-        change = self._limits.hear(key, asks.most_per_s, self._now_s)
-        self._note_change(key, change, OWN_WORD)
+        change = self._limits.note_answer_limit(key, asks.most_per_s, self._now_s)
+        self._note_change(key, change, OWN_SOURCE)
         if asks.is_leaving:
             self._note_leaving(server)
         if asks.cool_down_s is not None:
@@ -126,14 +126,14 @@
         The time is infinite for servers that are leaving and for those whose limit is shared by
         other entries only.
         """
-        self._cool_downs.forget_over(self._now_s)
+        self._cool_downs.forget_expired(self._now_s)
         if not (self._limits or self._leaving or self._cool_downs):
             return {}
         if (others := self._peers.members()) != self._shared_among:
             self._shared_among = others
             self._shares.clear()
-        rooms = ((one.life_id, self._room_s(one.life_id)) for one in servers)
-        return {life_id: room_s for life_id, room_s in rooms if room_s > 0}
+        waits_s = ((one.life_id, self._wait_s(one.life_id)) for one in servers)
+        return {life_id: wait_s for life_id, wait_s in waits_s if wait_s > 0}
 
     def is_open(self, server: BackendServer) -> bool:
         """Return whether a server accepts a request of this entry now."""
@@ -153,19 +153,21 @@
         time_left_s
             How long the caller waits for its answer; ``None`` without a limit.
         """
-        rooms = self.rooms_s(servers)
-        if len(rooms) < len(servers):
+        waits_s = self.rooms_s(servers)
+        if len(waits_s) < len(servers):
             return None
         staying = [server for server in servers if server.life_id not in self._leaving]
         if not staying:
             return None
-        of_all_per_s = sum(self._taken_per_s(server.life_id) for server in staying)
-        first_s = min(rooms.values())
+        total_per_s = sum(self._accepted_per_s(server.life_id) for server in staying)
+        first_s = min(waits_s.values())
         if math.isinf(first_s):
             # Other entries share all limits; this is the average time until one has room.
-            first_s = 1 / of_all_per_s
-        own_per_s = of_all_per_s / (1 + len(self._peers.members()))
-        return self._return_times.next_s(service, first_s, own_per_s, time_left_s, self._now_s)
+            first_s = 1 / total_per_s
+        own_per_s = total_per_s / (1 + len(self._peers.members()))
+        return self._retry_schedule.next_retry_s(
+            service, first_s, own_per_s, time_left_s, self._now_s
+        )
 
     def news(self) -> Mapping[int, LimitNews]:
         """Return the limits to send to peers, the latest first."""
@@ -173,8 +175,8 @@
 
     def take(self, news: Mapping[int, LimitNews], host: str) -> None:
         """Record the limits that a peer has reported."""
-        for key, told in news.items():
-            change = self._limits.hear_from_peer(key, told, self._now_s)
+        for key, limit in news.items():
+            change = self._limits.note_peer_limit(key, limit, self._now_s)
             self._note_change(key, change, host)
 
     def forget_gone(self, known: Collection[str]) -> None:
@@ -196,7 +198,7 @@
         self._shares.pop(server.life_id, None)
         if change is LimitChange.NEWS:
             self._log_limit(server, self._limits.of(key), source)
-            if source == OWN_WORD:
+            if source == OWN_SOURCE:
                 self._peers.tell_at_once()
 
     def _log_limit(self, server: BackendServer, most_per_s: float | None, source: str) -> None:
@@ -213,15 +215,15 @@
             )
         )
 
-    def _taken_per_s(self, life_id: str) -> float:
+    def _accepted_per_s(self, life_id: str) -> float:
         """Return the rate at which a server accepts requests once it accepts any."""
         most_per_s = self.limit_of(life_id)
-        return RESTED_PER_S if most_per_s is None else max(LEAST_PER_S, most_per_s)
+        return ASSUMED_LIMIT_PER_S if most_per_s is None else max(LEAST_PER_S, most_per_s)
 
-    def _room_s(self, life_id: str) -> float:
+    def _wait_s(self, life_id: str) -> float:
         if life_id in self._leaving:
             return math.inf
-        cool_down_s = self._cool_downs.left_s(life_id, self._now_s)
+        cool_down_s = self._cool_downs.remaining_s(life_id, self._now_s)
         most_per_s = self.limit_of(life_id)
         if most_per_s is None:
             return cool_down_s
@@ -229,8 +231,8 @@
             self._shares[life_id] = own_share_per_s(
                 life_id, most_per_s, self._own_host, self._shared_among
             )
-        room_s = self._sent_to(life_id).room_in_s(self._shares[life_id], self._now_s)
-        return max(cool_down_s, room_s)
+        wait_s = self._sent_to(life_id).room_in_s(self._shares[life_id], self._now_s)
+        return max(cool_down_s, wait_s)
 
     def _note_leaving(self, server: BackendServer) -> None:
         if self._leaving.note(server.life_id, self._now_s):
--- a/packages/proxy/src/sassafrastally/proxy/budget.py
+++ b/packages/proxy/src/sassafrastally/proxy/budget.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-SAFETY_SHARE = 0.6
+USABLE_BUDGET_SHARE = 0.6
 """Share of the configured budget that is spent. The rest covers requests in flight that not all
 entries have counted, the counts that a restarted entry has lost, and the offset between this
 entry's window and the callers' window."""
@@ -46,7 +46,7 @@
     def allowed(self, service: str, entries: int, now_s: float) -> float:
         """Return how many retries this entry may send in a window."""
         requests = len(self._window(self._requests, service, now_s))
-        return SAFETY_SHARE * (self._ratio * requests + self._extra / max(1, entries))
+        return USABLE_BUDGET_SHARE * (self._ratio * requests + self._extra / max(1, entries))
 
     def take(self, service: str, entries: int, now_s: float) -> bool:
         """Count a retry and return whether the budget allows it."""
--- a/packages/proxy/src/sassafrastally/proxy/cool_downs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cool_downs.py
@@ -24,10 +24,10 @@
         self._until_s[life_id] = until_s
         return True
 
-    def left_s(self, life_id: str, now_s: float) -> float:
+    def remaining_s(self, life_id: str, now_s: float) -> float:
         """Return the rest of a server's cool-down; 0 without one."""
         return max(0.0, self._until_s.get(life_id, now_s) - now_s)
 
-    def forget_over(self, now_s: float) -> None:
+    def forget_expired(self, now_s: float) -> None:
         """Forget cool-downs that have ended."""
         self._until_s = {one: until_s for one, until_s in self._until_s.items() if until_s > now_s}
--- a/packages/proxy/src/sassafrastally/proxy/engine_time.py
+++ b/packages/proxy/src/sassafrastally/proxy/engine_time.py
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from sassafrastally.proxy.model import EngineFigures
 
-PAIRS_UNIT = 1_000_000
+MILLION = 1_000_000
 
-MOST_HELPERS = 16
+MAX_HELPERS = 16
 """Most helpers that an engine accepts for one prompt."""
 
 
 def reading_ms(figures: EngineFigures, tokens: int) -> float:
     """Return the time that one engine takes to prefill a prompt of that many tokens."""
-    pairs_millions = tokens * tokens / 2 / PAIRS_UNIT
+    pairs_millions = tokens * tokens / 2 / MILLION
     return tokens / figures.read_tokens_per_ms + pairs_millions * figures.pairs_ms_per_million
 
 
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -11,7 +11,7 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, reading_ms
 from sassafrastally.proxy.load import Lane, Work
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize, Route
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
-SHORT_REQUEST_S = 1.5
+SHORT_REQUEST_DURATION_S = 1.5
 """Typical time that a short request occupies its slot. Together with the number of requests in
 progress it gives the rate at which requests start."""
 
@@ -68,9 +68,9 @@
     news_age_s: float = 0.0
     """Age of the latest load report of other entries."""
 
-    def unheard(self, short_requests: int) -> float:
+    def unseen_requests(self, short_requests: int) -> float:
         """Return the estimated short requests that others have started since their last reports."""
-        return short_requests * self.news_age_s / SHORT_REQUEST_S
+        return short_requests * self.news_age_s / SHORT_REQUEST_DURATION_S
 
 
 def lane_of(
@@ -79,11 +79,11 @@
     """Return the lane of a request."""
     if limits.is_tolerant(route.pause_goal_s):
         return Lane.LONG
-    too_long_ms = limits.short_part_ms * (MOST_HELPERS + 1)
+    too_long_ms = limits.short_part_ms * (MAX_HELPERS + 1)
     return Lane.LONG if reading_ms(figures, prompt.prompt_tokens) > too_long_ms else Lane.SHORT
 
 
-def split_by_centre(
+def split_lanes_by_centre(
     views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
 ) -> Lanes:
     """Split the engines of each data centre separately, as its own entries do.
@@ -96,7 +96,7 @@
     centres: dict[str, list[ServerView]] = {}
     for view in views:
         centres.setdefault(view.server.data_centre, []).append(view)
-    split = [split_lanes(of_one, figures, scatter) for of_one in centres.values()]
+    split = [split_lanes(centre_views, figures, scatter) for centre_views in centres.values()]
     return Lanes(
         tuple(view for lanes in split for view in lanes.long),
         tuple(view for lanes in split for view in lanes.short),
@@ -126,8 +126,8 @@
         return Lanes(tuple(views), tuple(views))
     short_requests: float = sum(view.work.short_requests for view in views)
     if scatter is not None:
-        short_requests += scatter.unheard(int(short_requests))
-    wanted = math.ceil(short_requests / (SHORT_FILL * figures.slots)) + 1
-    least_long = max(1, math.ceil(LONG_LANE_SHARE * count))
-    short = max(1, min(wanted, count - least_long))
+        short_requests += scatter.unseen_requests(int(short_requests))
+    needed_engines = math.ceil(short_requests / (SHORT_FILL * figures.slots)) + 1
+    min_long = max(1, math.ceil(LONG_LANE_SHARE * count))
+    short = max(1, min(needed_engines, count - min_long))
     return Lanes(tuple(views[: count - short]), tuple(views[count - short :]))
--- a/packages/proxy/src/sassafrastally/proxy/long_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/long_placement.py
@@ -11,7 +11,7 @@
 from heapq import nsmallest
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, pass_ms, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms, reading_ms
 from sassafrastally.proxy.load import Lane
 from sassafrastally.proxy.plan import (
     SAFE_GOAL_SHARE,
@@ -28,7 +28,7 @@
     from sassafrastally.proxy.model import EngineFigures, PromptSize
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
-LONG_VALUE_PER_K = 0.1
+LONG_VALUE_PER_1000_TOKENS = 0.1
 """Cost of a late long request for each 1,000 tokens, in late short requests: a prompt of 180,000
 tokens is as much work as about twenty short ones."""
 
@@ -36,11 +36,11 @@
 """Share of a request's value that is lost if its first event comes at its goal rather than at once.
 Among plans that delay no other request, it selects the fastest."""
 
-OPENING_COST = 0.5
+FIRST_LONG_DECODE_COST = 0.5
 """Cost of starting to decode a long request on an engine that has none. Engines that only prefill
 delay no decoding, so few engines answer long requests and the others only prefill."""
 
-CONSIDERED = 3 * (MOST_HELPERS + 1)
+MAX_CONSIDERED_ENGINES = 3 * (MAX_HELPERS + 1)
 """Most engines considered for a long prompt: three times as many as it can use. A search over a
 hundred or more would block the process for too long."""
 
@@ -61,7 +61,7 @@
     own_ms = reading_ms(figures, prompt.prompt_tokens)
     in_long_lane = {view.server.life_id for view in lanes.long}
     candidates = [
-        _candidate(view, view.server.life_id not in in_long_lane, figures)
+        _make_candidate(view, view.server.life_id not in in_long_lane, figures)
         for view in dict.fromkeys([*lanes.long, *lanes.short])
         if view.work.reading_requests < figures.slots
     ]
@@ -69,25 +69,27 @@
     # prompts at the same time would choose the same engines.
     scatter.random.shuffle(candidates)
     needed = prompt.prompt_tokens + prompt.output_tokens
-    usual_part_ms = own_ms / min(MOST_HELPERS + 1, max(1, len(candidates)))
-    considered = _least_harmed(candidates, CONSIDERED, usual_part_ms, limits)
-    if not _has_leader(considered, needed, figures) and _has_leader(candidates, needed, figures):
+    usual_part_ms = own_ms / min(MAX_HELPERS + 1, max(1, len(candidates)))
+    considered = _least_delayed(candidates, MAX_CONSIDERED_ENGINES, usual_part_ms, limits)
+    if not _any_can_answer_alone(considered, needed, figures) and _any_can_answer_alone(
+        candidates, needed, figures
+    ):
         considered = candidates
     # A further part adds least lateness on engines with a long prefill backlog, so these rank
     # first. The engines that can start soon are therefore tried as a separate choice.
-    soon = [
+    ready_soon = [
         candidate for candidate in considered if candidate.view.work.reading_ms < goal_s * 1000 / 3
     ]
-    choices = (considered, soon) if len(soon) < len(considered) else (considered,)
-    most_parts = min(MOST_HELPERS + 1, len(considered), max(1, int(own_ms / limits.least_part_ms)))
+    choices = (considered, ready_soon) if len(ready_soon) < len(considered) else (considered,)
+    max_parts = min(MAX_HELPERS + 1, len(considered), max(1, int(own_ms / limits.least_part_ms)))
     best: Placement | None = None
     best_cost = math.inf
-    for size in range(1, most_parts + 1):
+    for size in range(1, max_parts + 1):
         for group in choices:
             plan = _plan_group(group, size, own_ms / size, needed, figures, limits)
             if plan is None:
                 continue
-            cost = _late_cost(prompt, plan.placement.predicted_s / goal_s) + plan.harm
+            cost = _late_cost(prompt, plan.placement.predicted_s / goal_s) + plan.added_lateness
             if cost < best_cost:
                 best, best_cost = plan.placement, cost
     return best
@@ -97,46 +99,48 @@
     """An engine with the values that don't depend on the size of its part."""
 
     view: ServerView
-    before_ms: float
+    pause_before_ms: float
     """Pause of the requests that it decodes, without the part."""
-    written: float
+    decoding_weight: float
     """Weight of the long requests that it decodes, in short requests."""
     is_short_lane: bool
 
 
 class _GroupPlan(NamedTuple):
     placement: Placement
-    harm: float
+    added_lateness: float
     """Expected number of requests that it makes late, in short requests."""
 
 
-def _candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
+def _make_candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
     work = view.work
-    before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
+    pause_before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
     # Only long requests that are being decoded have pauses. If those in prefill counted too, the
     # engines that answer long prompts would look so expensive that two or three engines would
     # prefill the next prompt alone.
-    written = LONG_VALUE_PER_K * work.writing_tokens / 1000
-    return _Candidate(view, before_ms, written, is_short_lane)
+    decoding_weight = LONG_VALUE_PER_1000_TOKENS * work.writing_tokens / 1000
+    return _Candidate(view, pause_before_ms, decoding_weight, is_short_lane)
 
 
-def _can_lead(view: ServerView, needed: int, figures: EngineFigures) -> bool:
+def _can_answer_alone(view: ServerView, needed: int, figures: EngineFigures) -> bool:
     """Return whether an engine has a free slot and enough memory to answer a prompt alone."""
     return view.work.requests < figures.slots and free_tokens(view, figures) >= needed
 
 
-def _has_leader(candidates: Sequence[_Candidate], needed: int, figures: EngineFigures) -> bool:
-    return any(_can_lead(candidate.view, needed, figures) for candidate in candidates)
+def _any_can_answer_alone(
+    candidates: Sequence[_Candidate], needed: int, figures: EngineFigures
+) -> bool:
+    return any(_can_answer_alone(candidate.view, needed, figures) for candidate in candidates)
 
 
-def _least_harmed(
+def _least_delayed(
     candidates: Sequence[_Candidate], count: int, part_ms: float, limits: ReadingLimits
 ) -> list[_Candidate]:
     """Return the engines with the least added lateness, then with the least prefill backlog."""
     return nsmallest(
         count,
         candidates,
-        key=lambda one: (_harm(one, part_ms, limits), one.view.work.reading_ms),
+        key=lambda one: (_added_lateness(one, part_ms, limits), one.view.work.reading_ms),
     )
 
 
@@ -150,23 +154,32 @@
 ) -> _GroupPlan | None:
     """Return the plan that adds the least lateness for a group of that size."""
     ranked = sorted(
-        ((_harm(one, part_ms, limits), one.view.work.reading_ms, one.view) for one in candidates),
+        (
+            (_added_lateness(one, part_ms, limits), one.view.work.reading_ms, one.view)
+            for one in candidates
+        ),
         key=lambda row: row[:2],
     )
-    harms = {view.server.life_id: harm for harm, _, view in ranked}
-    leaders = [
-        (harm + (0.0 if view.work.long_requests else OPENING_COST), reading, place)
-        for place, (harm, reading, view) in enumerate(ranked)
-        if _can_lead(view, needed, figures)
+    lateness_by_life_id = {
+        view.server.life_id: added_lateness for added_lateness, _, view in ranked
+    }
+    primaries = [
+        (
+            added_lateness + (0.0 if view.work.long_requests else FIRST_LONG_DECODE_COST),
+            backlog_ms,
+            index,
+        )
+        for index, (added_lateness, backlog_ms, view) in enumerate(ranked)
+        if _can_answer_alone(view, needed, figures)
     ]
     helpers = [view for _, _, view in ranked if not view.is_limited]
-    if leaders:
-        leader = ranked[min(leaders)[2]][2]
-        holdings: tuple[Holding, ...] = (Holding(leader.server, needed),)
-        group = [leader, *[view for view in helpers if view is not leader][: size - 1]]
+    if primaries:
+        primary = ranked[min(primaries)[2]][2]
+        holdings: tuple[Holding, ...] = (Holding(primary.server, needed),)
+        group = [primary, *[view for view in helpers if view is not primary][: size - 1]]
     else:
         views = helpers
-        shared = _holdings(views[: MOST_HELPERS + 1], needed, figures)
+        shared = _holdings(views[: MAX_HELPERS + 1], needed, figures)
         if shared is None:
             return None
         holdings = shared
@@ -175,37 +188,40 @@
         group += [view for view in views if view not in group][: max(0, size - len(group))]
     part_ms = part_ms * size / len(group)
     placement = make_placement(group, holdings, Lane.LONG, part_ms, figures)
-    return _GroupPlan(placement, sum(harms[view.server.life_id] for view in group))
+    return _GroupPlan(placement, sum(lateness_by_life_id[view.server.life_id] for view in group))
 
 
 def _late_cost(prompt: PromptSize, share_of_goal: float) -> float:
     """Return the cost of a first event at that share of its goal."""
-    value = max(1.0, LONG_VALUE_PER_K * prompt.prompt_tokens / 1000)
+    value = max(1.0, LONG_VALUE_PER_1000_TOKENS * prompt.prompt_tokens / 1000)
     late = min(1.0, max(0.0, share_of_goal - SAFE_GOAL_SHARE) / (1.2 - SAFE_GOAL_SHARE))
     return value * (late + DELAY_COST * share_of_goal)
 
 
-def _harm(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
+def _added_lateness(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
     """Return the expected requests on an engine that a part makes late, in short requests."""
     work = candidate.view.work
-    harm = 0.0
+    added_lateness = 0.0
     if candidate.is_short_lane:
         # A part as long as the strictest pause is assumed to make one future request late.
-        harm = part_ms / limits.strict_pause_ms
-    if not work.short_requests and not candidate.written:
-        return harm
-    before_ms = candidate.before_ms
-    after_ms = before_ms + part_ms * candidate.view.pace
+        added_lateness = part_ms / limits.strict_pause_ms
+    if not work.short_requests and not candidate.decoding_weight:
+        return added_lateness
+    pause_before_ms = candidate.pause_before_ms
+    pause_after_ms = pause_before_ms + part_ms * candidate.view.pace
     for requests, limits_ms in (
         (work.short_requests, limits.short_pauses_ms),
-        (candidate.written, limits.long_pauses_ms),
+        (candidate.decoding_weight, limits.long_pauses_ms),
     ):
         if requests:
-            harm += requests * (_lateness(after_ms, limits_ms) - _lateness(before_ms, limits_ms))
-    return harm
+            added_lateness += requests * (
+                _late_probability(pause_after_ms, limits_ms)
+                - _late_probability(pause_before_ms, limits_ms)
+            )
+    return added_lateness
 
 
-def _lateness(pause_ms: float, limits_ms: tuple[float, float]) -> float:
+def _late_probability(pause_ms: float, limits_ms: tuple[float, float]) -> float:
     """Return the probability that a pause is too long; it rises linearly between two limits."""
     low_ms, high_ms = limits_ms
     return min(1.0, max(0.0, (pause_ms - low_ms) / (high_ms - low_ms)))
@@ -219,23 +235,23 @@
     A single engine holds it if possible. Otherwise the engine with the most free memory answers,
     and the others hold as much as they can, in the order of their free memory.
     """
-    roomy = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
-    leaders = [
+    by_free_memory = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
+    primaries = [
         view
-        for view in roomy
+        for view in by_free_memory
         if view.work.requests < figures.slots and free_tokens(view, figures) > 0
     ]
-    fitting = [view for view in leaders if free_tokens(view, figures) >= needed]
+    fitting = [view for view in primaries if free_tokens(view, figures) >= needed]
     if fitting:
-        leader = min(fitting, key=lambda view: (view.work.requests, view.work.tokens))
-        return (Holding(leader.server, needed),)
-    if not leaders:
+        primary = min(fitting, key=lambda view: (view.work.requests, view.work.tokens))
+        return (Holding(primary.server, needed),)
+    if not primaries:
         return None
-    leader = leaders[0]
-    left = needed - free_tokens(leader, figures)
-    holdings = [Holding(leader.server, free_tokens(leader, figures))]
-    for view in roomy:
-        if view is not leader and left > 0:
+    primary = primaries[0]
+    left = needed - free_tokens(primary, figures)
+    holdings = [Holding(primary.server, free_tokens(primary, figures))]
+    for view in by_free_memory:
+        if view is not primary and left > 0:
             tokens = min(left, free_tokens(view, figures))
             if tokens > 0:
                 holdings.append(Holding(view.server, tokens))
--- a/packages/proxy/src/sassafrastally/proxy/moving.py
+++ b/packages/proxy/src/sassafrastally/proxy/moving.py
@@ -11,7 +11,7 @@
 """A first event is overdue after this factor of its predicted time plus this many seconds. The
 engines that prefill its prompt are then checked for slowness."""
 
-MOVE_GAIN = 2.0
+MIN_MOVE_SPEEDUP = 2.0
 """Factor by which a first event must be expected sooner elsewhere for a prompt to move: its prefill
 starts again, and the work of the first engines is lost."""
 
@@ -35,9 +35,9 @@
     """
     # It isn't known when the engine became slow: at the latest now, at the earliest before the
     # prompt was sent.
-    since_now_s = (predicted_s - elapsed_s) * pace
-    since_then_s = predicted_s * pace - elapsed_s
-    return max(0.0, since_now_s, since_then_s)
+    slow_from_now_s = (predicted_s - elapsed_s) * pace
+    slow_from_start_s = predicted_s * pace - elapsed_s
+    return max(0.0, slow_from_now_s, slow_from_start_s)
 
 
 def is_worth_moving(left_s: float, predicted_elsewhere_s: float, goal_left_s: float) -> bool:
@@ -52,4 +52,4 @@
     goal_left_s
         Time until its goal. A prompt expected to meet its goal here isn't moved.
     """
-    return left_s > goal_left_s and left_s > MOVE_GAIN * predicted_elsewhere_s
+    return left_s > goal_left_s and left_s > MIN_MOVE_SPEEDUP * predicted_elsewhere_s
--- a/packages/proxy/src/sassafrastally/proxy/pace.py
+++ b/packages/proxy/src/sassafrastally/proxy/pace.py
@@ -20,11 +20,11 @@
 SLOW_PACE = 1.3
 """Pace from which an engine counts as slow. Smaller values are within the prediction error."""
 
-BELIEVED_S = 2.5
+REPORT_VALID_S = 2.5
 """How long a report is valid, so that two lost reports are tolerated."""
 
 
-class _Seen(NamedTuple):
+class _PaceReport(NamedTuple):
     pace: float
     at_s: float
 
@@ -33,24 +33,24 @@
     """Latest pace of each engine that this process polls."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._reports: dict[str, _PaceReport] = {}
 
     def note(self, life_id: str, pace: float, now_s: float) -> None:
         """Note the pace in a report."""
-        self._seen[life_id] = _Seen(pace, now_s)
+        self._reports[life_id] = _PaceReport(pace, now_s)
 
     def slow(self, now_s: float) -> dict[str, float]:
         """Return the slow engines with their pace."""
         return {
-            life_id: seen.pace
-            for life_id, seen in self._seen.items()
-            if seen.pace >= SLOW_PACE and now_s - seen.at_s < BELIEVED_S
+            life_id: report.pace
+            for life_id, report in self._reports.items()
+            if report.pace >= SLOW_PACE and now_s - report.at_s < REPORT_VALID_S
         }
 
     def forget_gone(self, known: set[str]) -> None:
         """Forget engines that no longer exist."""
-        for life_id in self._seen.keys() - known:
-            del self._seen[life_id]
+        for life_id in self._reports.keys() - known:
+            del self._reports[life_id]
 
 
 def slowest(paces: Mapping[str, float], life_ids: Sequence[str]) -> float:
--- a/packages/proxy/src/sassafrastally/proxy/placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/placement.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.lanes import Lanes, split_by_centre, split_lanes
+from sassafrastally.proxy.lanes import Lanes, split_lanes, split_lanes_by_centre
 from sassafrastally.proxy.load import Lane
 from sassafrastally.proxy.long_placement import place_long
 from sassafrastally.proxy.pace import SLOW_PACE
@@ -22,7 +22,7 @@
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
 
-MOST_PART_SHARE = 0.06
+MAX_PART_SHARE = 0.06
 """Largest prefill time that one prompt on one engine adds to the backlog, as a share of the longest
 goal. Engines prefill later prompts before larger ones, so these needn't wait for a large one."""
 
@@ -53,7 +53,7 @@
     by_centre
         Whether the engines of each data centre are split into lanes separately.
     """
-    split = split_by_centre if by_centre else split_lanes
+    split = split_lanes_by_centre if by_centre else split_lanes
     usual = [view for view in views if view.pace < SLOW_PACE]
     has_slow = 0 < len(usual) < len(views)
     plans = []
@@ -75,9 +75,9 @@
 ) -> Placement:
     """Return a plan with the sizes and the prefill backlog of its lanes."""
     readers = len(lanes.long)
-    most_ms = MOST_PART_SHARE * limits.longest_goal_s * 1000
+    max_part_ms = MAX_PART_SHARE * limits.longest_goal_s * 1000
     backlog_ms = sum(
-        min(view.work.reading_ms, most_ms * view.work.reading_requests) for view in views
+        min(view.work.reading_ms, max_part_ms * view.work.reading_requests) for view in views
     )
     return plan._replace(
         lanes=f"{readers}+{len(lanes.short)}",
@@ -116,15 +116,15 @@
     """
     if lane is Lane.SHORT:
         return place_short(lanes, prompt, goal_s, figures, limits, scatter)
-    sparing = place_long(lanes, prompt, goal_s, figures, limits, scatter)
-    if sparing is not None and sparing.predicted_s <= goal_s:
-        return sparing
-    unsparing = place_long(_unlimited(lanes), prompt, goal_s, figures, limits, scatter)
-    plans = [plan for plan in (sparing, unsparing) if plan is not None]
+    within_limits = place_long(lanes, prompt, goal_s, figures, limits, scatter)
+    if within_limits is not None and within_limits.predicted_s <= goal_s:
+        return within_limits
+    ignoring_limits = place_long(_without_limits(lanes), prompt, goal_s, figures, limits, scatter)
+    plans = [plan for plan in (within_limits, ignoring_limits) if plan is not None]
     return min(plans, key=lambda plan: plan.predicted_s, default=None)
 
 
-def _unlimited(lanes: Lanes) -> Lanes:
+def _without_limits(lanes: Lanes) -> Lanes:
     """Return the lanes with no engine marked as limited.
 
     While all engines are limited, a prompt that no single engine can prefill in time or hold in
--- a/packages/proxy/src/sassafrastally/proxy/plain_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain_placement.py
@@ -10,7 +10,7 @@
     from sassafrastally.proxy.lanes import ServerView
     from sassafrastally.proxy.model import BackendServer
 
-FAR_REQUESTS = 0.5
+REMOTE_COST_REQUESTS = 0.5
 """Cost of a round trip to another data centre, in requests in progress. A request takes 20 to 90 ms
 and the round trip 1 to 3 ms: of two equally busy servers the one in the same data centre is taken,
 but one more request in progress there already outweighs the round trip."""
@@ -33,7 +33,7 @@
         return None
 
     def cost(view: ServerView) -> float:
-        is_far = view.server.data_centre != data_centre
-        return view.work.requests + FAR_REQUESTS * is_far
+        is_remote = view.server.data_centre != data_centre
+        return view.work.requests + REMOTE_COST_REQUESTS * is_remote
 
     return min(views, key=cost).server
--- a/packages/proxy/src/sassafrastally/proxy/plan.py
+++ b/packages/proxy/src/sassafrastally/proxy/plan.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, pass_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms
 from sassafrastally.proxy.load import NO_WORK, Lane, Part
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
     from sassafrastally.proxy.lanes import ServerView
     from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize
 
-MEMORY_SHARE = 0.96
+USABLE_MEMORY_SHARE = 0.96
 """Share of an engine's memory that is allocated. The rest is a reserve for requests of other
 entries that aren't known yet."""
 
@@ -54,13 +54,13 @@
 
 def most_prompt_tokens(figures: EngineFigures) -> int:
     """Return the largest prompt that a group of engines can hold."""
-    return (MOST_HELPERS + 1) * figures.memory_tokens
+    return (MAX_HELPERS + 1) * figures.memory_tokens
 
 
 def free_tokens(view: ServerView, figures: EngineFigures) -> int:
     """Return the memory of an engine that is still free for a prompt."""
     # Entries that place prompts at the same time can briefly overcommit an engine's memory.
-    return max(0, int(MEMORY_SHARE * figures.memory_tokens) - view.work.tokens)
+    return max(0, int(USABLE_MEMORY_SHARE * figures.memory_tokens) - view.work.tokens)
 
 
 def has_room(view: ServerView, prompt: PromptSize, figures: EngineFigures) -> bool:
@@ -76,8 +76,8 @@
     """
     work = view.work
     one_pass_ms = pass_ms(figures, work.requests, work.tokens) * view.pace
-    under_way_ms = one_pass_ms / 2 if work.requests else 0.0
-    return under_way_ms + work.reading_ms + part_ms * view.pace + one_pass_ms
+    current_pass_ms = one_pass_ms / 2 if work.requests else 0.0
+    return current_pass_ms + work.reading_ms + part_ms * view.pace + one_pass_ms
 
 
 def make_placement(
--- a/packages/proxy/src/sassafrastally/proxy/pool.py
+++ b/packages/proxy/src/sassafrastally/proxy/pool.py
@@ -20,7 +20,7 @@
 """Idle connections are closed after this time. Backend servers drop idle connections without
 notice; the shorter the idle time, the fewer requests are sent on a dropped connection."""
 
-KEPT_PER_SERVER = 8
+MAX_IDLE_PER_SERVER = 8
 """Most idle connections kept for one backend server; an engine runs that many requests at once."""
 
 
@@ -53,9 +53,9 @@
         return None
 
     async def put_back(self, server: BackendServer, connection: HttpStream) -> None:
-        """Return a connection to the pool after a complete response; close it if it can't be kept."""
+        """Return a connection to the pool after a complete response, or close it if unusable."""
         kept = self._idle.setdefault(server.life_id, [])
-        if len(kept) >= KEPT_PER_SERVER or connection.has_unread_input():
+        if len(kept) >= MAX_IDLE_PER_SERVER or connection.has_unread_input():
             await connection.close()
             return
         connection.http.start_next_cycle()
--- a/packages/proxy/src/sassafrastally/proxy/pools.py
+++ b/packages/proxy/src/sassafrastally/proxy/pools.py
@@ -11,7 +11,7 @@
 
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS
+from sassafrastally.proxy.engine_time import MAX_HELPERS
 from sassafrastally.proxy.plan import SAFE_GOAL_SHARE
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
     from sassafrastally.proxy.model import BackendServer
     from sassafrastally.proxy.plan import Placement
 
-LEAST_ENGINES = MOST_HELPERS + 1
+MIN_POOL_ENGINES = MAX_HELPERS + 1
 """Fewest engines for a pool of its own: as many as the longest prompt can use. With fewer engines,
 the lanes can be sized only in coarse steps. With a higher bound, a data centre that loses a quarter
 of its engines would fall below it in the middle of a burst."""
@@ -31,7 +31,7 @@
     pools: dict[str, list[BackendServer]] = {}
     for server in servers:
         pools.setdefault(server.data_centre, []).append(server)
-    if len(pools) < 2 or any(len(pool) < LEAST_ENGINES for pool in pools.values()):
+    if len(pools) < 2 or any(len(pool) < MIN_POOL_ENGINES for pool in pools.values()):
         return {}
     return pools
 
--- a/packages/proxy/src/sassafrastally/proxy/rate_shares.py
+++ b/packages/proxy/src/sassafrastally/proxy/rate_shares.py
@@ -23,7 +23,7 @@
 """Lowest rate of requests to a limited server. Only its answers show when the limit has risen, and
 until then callers are rejected."""
 
-SENDERS = 3
+BASE_SENDERS = 3
 SENDERS_PER_REQUEST = 1.5
 """Number of entries that share a limit: a base, plus this many per request per second of the limit.
 All of them can send a request at the same moment, so their number bounds the overshoot."""
@@ -33,7 +33,7 @@
     """A window over which requests are counted."""
 
     time_s: float
-    least: int
+    min_requests: int
     """Requests that are always allowed, however small the share."""
 
 
@@ -41,7 +41,7 @@
 """The long window enforces the limit, as servers count over some seconds. The short one prevents an
 entry from sending the requests of the long one in a single burst."""
 
-REMEMBERED_S = SENDERS / LEAST_PER_S
+SENT_HISTORY_S = BASE_SENDERS / LEAST_PER_S
 """How long sent requests are kept: the interval between two requests at the smallest share."""
 
 
@@ -61,14 +61,14 @@
     others
         All other entries that can send to it.
     """
-    taken_per_s = max(LEAST_PER_S, most_per_s)
-    senders = min(int(SENDERS + SENDERS_PER_REQUEST * taken_per_s), 1 + len(others))
+    accepted_per_s = max(LEAST_PER_S, most_per_s)
+    senders = min(int(BASE_SENDERS + SENDERS_PER_REQUEST * accepted_per_s), 1 + len(others))
     if senders <= len(others):
         own_rank = _rank(life_id, own_host)
         before = sum(1 for host in others if _rank(life_id, host) > own_rank)
         if before >= senders:
             return 0.0
-    return taken_per_s / senders
+    return accepted_per_s / senders
 
 
 def _rank(life_id: str, host: str) -> int:
@@ -98,33 +98,33 @@
         """
         if share_per_s <= 0:
             return math.inf
-        room_s = 0.0
+        wait_s = 0.0
         for window in WINDOWS:
-            most = max(window.least, math.ceil(share_per_s * window.time_s - 1e-9))
-            if len(self._at_s) >= most:
-                room_s = max(room_s, self._at_s[-most] + most / share_per_s - now_s)
-        return room_s
+            max_requests = max(window.min_requests, math.ceil(share_per_s * window.time_s - 1e-9))
+            if len(self._at_s) >= max_requests:
+                wait_s = max(wait_s, self._at_s[-max_requests] + max_requests / share_per_s - now_s)
+        return wait_s
 
     def _forget_old(self, now_s: float) -> None:
-        while self._at_s and self._at_s[0] <= now_s - REMEMBERED_S:
+        while self._at_s and self._at_s[0] <= now_s - SENT_HISTORY_S:
             self._at_s.popleft()
 
 
-class ReturnTimes:
+class RetrySchedule:
     """Schedule of retry times for rejected callers, spaced one after the other.
 
-    With a hundred callers per second and servers that accept ten, callers that were all told the
-    next free moment would retry at once, and nine out of ten would be rejected again.
+    With a hundred callers per second and servers that accept ten, callers that were all given
+    the next free time would retry at once, and nine out of ten would be rejected again.
     """
 
     def __init__(self) -> None:
         self._last_s: dict[str, float] = {}
 
-    def next_s(
+    def next_retry_s(
         self,
         service: str,
-        first_room_s: float,
-        room_per_s: float,
+        first_accepted_s: float,
+        accepted_per_s: float,
         time_left_s: float | None,
         now_s: float,
     ) -> float:
@@ -134,9 +134,9 @@
         ----------
         service
             The requested service.
-        first_room_s
+        first_accepted_s
             Time until a server accepts a request again.
-        room_per_s
+        accepted_per_s
             Requests per second that are accepted from then on.
         time_left_s
             How long the caller waits for its answer. A later time is returned too, but isn't
@@ -145,7 +145,7 @@
             Present time.
         """
         last_s = self._last_s.get(service, -math.inf)
-        at_s = max(now_s + first_room_s, last_s + 1 / room_per_s)
+        at_s = max(now_s + first_accepted_s, last_s + 1 / accepted_per_s)
         if time_left_s is None or at_s - now_s < time_left_s:
             self._last_s[service] = at_s
         return at_s - now_s
--- a/packages/proxy/src/sassafrastally/proxy/reading_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/reading_limits.py
@@ -32,17 +32,17 @@
 """Largest share of the slack in a pause that one prompt's prefill takes, so that three prompts in
 one pass still fit."""
 
-LEAST_PART_PASSES = 0.9
+MIN_PART_PASSES = 0.9
 """Shortest prefill time of a part, in passes. Below it, a further helper saves less time than the
 pass in which it works."""
 
-RISING_FROM = 0.7
-RISING_TO = 1.05
+LATENESS_RISES_FROM = 0.7
+LATENESS_RISES_TO = 1.05
 """Shares of an allowed pause at which the probability of lateness starts to rise and at which it
 reaches one. The range covers errors of the predicted pass in both directions."""
 
-TOLERANT_RISING_FROM = 0.75
-TOLERANT_RISING_TO = 0.9
+TOLERANT_LATENESS_RISES_FROM = 0.75
+TOLERANT_LATENESS_RISES_TO = 0.9
 """The same for tolerant routes, as shares of the shortest and of the longest pause that they allow:
 the long prompts on an engine can come from any of them."""
 
@@ -110,16 +110,21 @@
     ) or [1000 * UNDECLARED_PAUSE_S]
     strict_ms = pauses_ms[0]
     tolerant_ms = [pause for pause in pauses_ms if pause >= TOLERANT_FACTOR * strict_ms]
-    least_ms, most_ms = (tolerant_ms[0], tolerant_ms[-1]) if tolerant_ms else (strict_ms, strict_ms)
+    shortest_ms, longest_ms = (
+        (tolerant_ms[0], tolerant_ms[-1]) if tolerant_ms else (strict_ms, strict_ms)
+    )
     full_pass_ms = pass_ms(figures, figures.slots, 0)
-    room_ms = max(strict_ms - full_pass_ms, full_pass_ms / 2)
-    long_from_ms = TOLERANT_RISING_FROM * least_ms
+    slack_ms = max(strict_ms - full_pass_ms, full_pass_ms / 2)
+    long_from_ms = TOLERANT_LATENESS_RISES_FROM * shortest_ms
     goals_s = [route.goal_s for route in routes if route.goal_s is not None]
     return ReadingLimits(
         strict_pause_ms=strict_ms,
-        short_part_ms=SHORT_PART_SHARE * room_ms,
-        least_part_ms=LEAST_PART_PASSES * full_pass_ms,
-        short_pauses_ms=(RISING_FROM * strict_ms, RISING_TO * strict_ms),
-        long_pauses_ms=(long_from_ms, max(TOLERANT_RISING_TO * most_ms, 1.1 * long_from_ms)),
+        short_part_ms=SHORT_PART_SHARE * slack_ms,
+        least_part_ms=MIN_PART_PASSES * full_pass_ms,
+        short_pauses_ms=(LATENESS_RISES_FROM * strict_ms, LATENESS_RISES_TO * strict_ms),
+        long_pauses_ms=(
+            long_from_ms,
+            max(TOLERANT_LATENESS_RISES_TO * longest_ms, 1.1 * long_from_ms),
+        ),
         longest_goal_s=max(goals_s, default=UNDECLARED_GOAL_S),
     )
--- a/packages/proxy/src/sassafrastally/proxy/sharing.py
+++ b/packages/proxy/src/sassafrastally/proxy/sharing.py
@@ -17,7 +17,7 @@
 
     from sassafrastally.proxy.load import Work
 
-MOST_TOLD = 25
+MAX_DIRECT_PEERS = 25
 """Most peers with which each entry reports to all others directly. With more peers, the reports
 would be so rare that the sum of a data centre is as recent."""
 
@@ -29,7 +29,7 @@
 """Entries that probe an unavailable store. The first one that gets an answer notifies all others.
 Several are needed to notice a store that is available again but rejects some entries."""
 
-FAR_NEWS_MS = 250.0
+URGENT_PREFILL_MS = 250.0
 """Prefill time on one engine from which other data centres are notified at once. Shorter prefills
 are over by the time they could react: regular reports reach them within a quarter of a second."""
 
@@ -45,7 +45,7 @@
 
 def tells_all(peers: int) -> bool:
     """Return whether an entry reports directly to each of that many peers."""
-    return peers <= MOST_TOLD
+    return peers <= MAX_DIRECT_PEERS
 
 
 def is_first(own: Member, others: Iterable[Member], count: int) -> bool:
@@ -73,20 +73,20 @@
     return before < count
 
 
-def is_news_afar(known: Mapping[int, Work], told: Mapping[int, Work]) -> bool:
+def is_news_afar(reported: Mapping[int, Work], current: Mapping[int, Work]) -> bool:
     """Return whether an entry has started a prefill that other data centres must learn of at once.
 
     Parameters
     ----------
-    known
+    reported
         Its previously reported work by engine.
-    told
+    current
         Its current work by engine.
     """
     return any(
-        work.reading_ms >= FAR_NEWS_MS
-        and work.reading_requests > known.get(server, NO_WORK).reading_requests
-        for server, work in told.items()
+        work.reading_ms >= URGENT_PREFILL_MS
+        and work.reading_requests > reported.get(server, NO_WORK).reading_requests
+        for server, work in current.items()
     )
 
 
--- a/packages/proxy/src/sassafrastally/proxy/short_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/short_placement.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, reading_ms
 from sassafrastally.proxy.lanes import SHORT_FILL
 from sassafrastally.proxy.load import Lane
 from sassafrastally.proxy.plan import (
@@ -28,7 +28,7 @@
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
-WINDOW_SHARE = 4.0
+WINDOW_PER_UNSEEN_REQUEST = 4.0
 """Number of engines to draw from, per short request that other entries are estimated to have placed
 since their latest reports."""
 
@@ -52,7 +52,7 @@
     """
     own_ms = reading_ms(figures, prompt.prompt_tokens)
     fitting = [view for view in reversed(lanes.short) if has_room(view, prompt, figures)]
-    ranked = _scattered(fitting, figures, limits, scatter)
+    ranked = _ranked_with_random_start(fitting, figures, limits, scatter)
     latest_ms = SAFE_GOAL_SHARE * goal_s * 1000 - own_ms
     if not ranked or first_event_ms(ranked[0], 0.0, figures) > latest_ms:
         fitting += [view for view in reversed(lanes.long) if has_room(view, prompt, figures)]
@@ -60,13 +60,13 @@
     if not ranked:
         return None
     helpers = [view for view in ranked[1:] if not view.is_limited]
-    group_size = min(math.ceil(own_ms / limits.short_part_ms), MOST_HELPERS + 1)
+    group_size = min(math.ceil(own_ms / limits.short_part_ms), MAX_HELPERS + 1)
     group = [ranked[0], *helpers[: max(0, group_size - 1)]]
     holdings = (Holding(group[0].server, prompt.prompt_tokens + prompt.output_tokens),)
     return make_placement(group, holdings, Lane.SHORT, own_ms / len(group), figures)
 
 
-def _scattered(
+def _ranked_with_random_start(
     fitting: Sequence[ServerView],
     figures: EngineFigures,
     limits: ReadingLimits,
@@ -80,19 +80,19 @@
     ranked = sorted(fitting, key=lambda view: _short_rank(view, figures, limits))
     if not ranked:
         return []
-    unheard = scatter.unheard(sum(view.work.short_requests for view in fitting))
+    unseen_requests = scatter.unseen_requests(sum(view.work.short_requests for view in fitting))
     latest_ms = first_event_ms(ranked[0], 0.0, figures) + limits.short_part_ms
-    width = 1 + math.ceil(WINDOW_SHARE * unheard)
+    width = 1 + math.ceil(WINDOW_PER_UNSEEN_REQUEST * unseen_requests)
     window = [view for view in ranked[:width] if first_event_ms(view, 0.0, figures) <= latest_ms]
     in_window = {id(view) for view in window}
     rest = [view for view in ranked if id(view) not in in_window]
-    drawn = []
+    randomized = []
     while window:
         pair = scatter.random.sample(window, min(2, len(window)))
         best = min(pair, key=lambda view: view.work.requests)
         window.remove(best)
-        drawn.append(best)
-    return drawn + rest
+        randomized.append(best)
+    return randomized + rest
 
 
 def _short_rank(
--- a/packages/proxy/src/sassafrastally/proxy/slowness.py
+++ b/packages/proxy/src/sassafrastally/proxy/slowness.py
@@ -17,14 +17,14 @@
 """An event that takes this many times the longest pass without prefill indicates a slow engine or
 one that prefills. Usual events take 0.5 to 1.5 times that pass."""
 
-SLOW_EVENTS = 4
+SLOW_EVENTS_IN_A_ROW = 4
 """Consecutive slow events from which an engine counts as slow. Prefill that this process doesn't
 know of yet causes one or two, and packet loss on a link delays single events."""
 
 LEFT_ALONE_S = 3.0
 """How long a slow engine is ejected before it gets requests again: several request durations."""
 
-MOST_SHARE = 0.25
+MAX_EJECTED_SHARE = 0.25
 """Largest share of a service's engines that are ejected for slowness. If more seem slow, the cause
 is this process, its link or the whole service, and ejecting them would overload the others."""
 
@@ -55,7 +55,7 @@
         count = self._in_a_row.get(life_id, 0) + 1
         self._in_a_row[life_id] = count
         others = self.slow_servers(now_s).keys() - {life_id}
-        if count < SLOW_EVENTS or len(others) + 1 > MOST_SHARE * servers:
+        if count < SLOW_EVENTS_IN_A_ROW or len(others) + 1 > MAX_EJECTED_SHARE * servers:
             return False
         del self._in_a_row[life_id]
         self._until_s[life_id] = now_s + LEFT_ALONE_S
--- a/packages/proxy/src/sassafrastally/proxy/suspicion.py
+++ b/packages/proxy/src/sassafrastally/proxy/suspicion.py
@@ -8,11 +8,11 @@
 
 from typing import NamedTuple
 
-FIRST_TIME_S = 1.0
+FIRST_EJECTION_S = 1.0
 """First ejection time of a server: longer than reconnecting takes, and short enough to notice soon
 that a crashed server is back."""
 
-LONGEST_TIME_S = 8.0
+MAX_EJECTION_S = 8.0
 """Longest ejection time; the time doubles with each consecutive failure."""
 
 FAILURES_IN_A_ROW = 2
@@ -66,7 +66,7 @@
         if not is_clear and failures < FAILURES_IN_A_ROW:
             self._records[life_id] = record._replace(failures=failures)
             return 0.0
-        for_s = min(LONGEST_TIME_S, max(FIRST_TIME_S, 2 * record.for_s))
+        for_s = min(MAX_EJECTION_S, max(FIRST_EJECTION_S, 2 * record.for_s))
         self._records[life_id] = _Record(failures, for_s, now_s + for_s)
         return for_s
 
--- a/packages/proxy/src/sassafrastally/proxy/turning_away.py
+++ b/packages/proxy/src/sassafrastally/proxy/turning_away.py
@@ -1,7 +1,7 @@
 """Load shedding: which callers are rejected, and after which delay they are asked to retry.
 
 In a burst of several times the capacity of the engines for some seconds, callers that are rejected
-together and told the same short delay retry together, within the same burst, and are rejected for
+together and given the same short delay retry together, within the same burst, and are rejected for
 good. Their retries are therefore spread over the later part of the longest time that they wait, so
 that they arrive one after the other when the burst is likely to be over.
 """
@@ -16,7 +16,7 @@
 LEAST_S = 0.02
 """Shortest retry delay; anything less is within the network round trip."""
 
-NO_TIME_LIMIT_S = 10.0
+DEFAULT_TIME_LEFT_S = 10.0
 """Assumed time left of a caller that doesn't state one: the usual time limit of routes."""
 
 
@@ -36,8 +36,8 @@
     time_left_s
         How long the caller waits for the whole answer; ``None`` without a limit.
     """
-    waits_s = patience_s if time_left_s is None else min(patience_s, time_left_s)
-    return predicted_s > waits_s
+    max_wait_s = patience_s if time_left_s is None else min(patience_s, time_left_s)
+    return predicted_s > max_wait_s
 
 
 def come_back_after_s(time_left_s: float | None, draw: float) -> float:
@@ -50,6 +50,6 @@
     draw
         Random number from 0 to 1.
     """
-    left_s = NO_TIME_LIMIT_S if time_left_s is None else time_left_s
+    left_s = DEFAULT_TIME_LEFT_S if time_left_s is None else time_left_s
     share = EARLIEST_SHARE + (LATEST_SHARE - EARLIEST_SHARE) * draw
     return max(LEAST_S, left_s * share)
--- a/packages/proxy/src/sassafrastally/proxy/unseen.py
+++ b/packages/proxy/src/sassafrastally/proxy/unseen.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from sassafrastally.proxy.model import ServerLoad
 
-FRESH_S = 1.0
+COUNT_VALID_S = 1.0
 """How long a count is valid: about half the duration of a short answer."""
 
-TOLERANCE = 1
+IGNORED_EXCESS_REQUESTS = 1
 """Excess of requests that is ignored: those that peers have sent since their latest datagram."""
 
 
@@ -32,7 +32,7 @@
 
     def note(self, life_id: str, load: ServerLoad, known: int, now_s: float) -> None:
         """Note the load stated in an answer, given the number of known requests."""
-        excess = load.running + load.waiting - known - TOLERANCE
+        excess = load.running + load.waiting - known - IGNORED_EXCESS_REQUESTS
         if excess > 0:
             self._counts[life_id] = _Count(excess, now_s)
         else:
@@ -43,10 +43,10 @@
         self._counts = {
             life_id: count
             for life_id, count in self._counts.items()
-            if now_s - count.at_s < FRESH_S
+            if now_s - count.at_s < COUNT_VALID_S
         }
 
     def at(self, life_id: str, now_s: float) -> int:
         """Return the number of unreported requests at a server."""
         count = self._counts.get(life_id)
-        return count.requests if count and now_s - count.at_s < FRESH_S else 0
+        return count.requests if count and now_s - count.at_s < COUNT_VALID_S else 0
--- a/packages/proxy/tests/test_admission.py
+++ b/packages/proxy/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is turned away because engines have too much to do."""
+"""Admission control: which requests are rejected because the engines are overloaded."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 
 
 def plan(lane: Lane, predicted_s: float, alone_s: float, own_s=0.0, backlog_s=0.0) -> Placement:
-    """Return a plan with these times."""
+    """Return a plan with the given times."""
     return Placement(SERVER, (), lane, (), (), predicted_s, alone_s, own_s, backlog_s)
 
 
 class TestShortPrompts:
-    """A question whose caller wants its first event within 0.3 s."""
+    """Short prompts with a goal of 0.3 s for the first event."""
 
-    def test_is_turned_away_when_it_would_be_late_behind_others(self):
+    def test_is_rejected_when_other_work_makes_it_late(self):
         assert overload_reason(plan(Lane.SHORT, 0.6, 0.1), SHORT_GOALS)
 
-    def test_is_begun_when_it_is_in_time(self):
+    def test_is_accepted_when_it_is_in_time(self):
         assert not overload_reason(plan(Lane.SHORT, 0.28, 0.1), SHORT_GOALS)
 
-    def test_is_begun_when_idle_engines_would_be_late_too(self):
-        """All engines have turned four times slower. Each answer is late, whoever is turned away,
-        so service goes on."""
+    def test_is_accepted_when_it_would_be_late_on_idle_engines_too(self):
+        """Guards against rejecting all requests while all engines are four times slower: every
+        answer is late then, and rejecting others doesn't help."""
         assert not overload_reason(plan(Lane.SHORT, 0.45, 0.4), SHORT_GOALS)
 
 
 class TestLongPrompts:
-    """A dossier whose caller wants its first event within four seconds."""
+    """Long prompts with a goal of 4 s for the first event."""
 
-    def test_is_turned_away_when_others_would_be_late_by_it(self):
-        """Ten engines have half a second to read each, and the dossier takes each of them as long
-        again. The newest part is read first: it would be in time itself, and those before it
-        wouldn't."""
+    def test_is_rejected_when_it_makes_others_late(self):
+        """Ten engines have a prefill backlog of 0.5 s each, and the prompt adds as much to each.
+        Engines prefill the newest part first, so it would be in time itself and make the earlier
+        prompts late."""
         assert overload_reason(plan(Lane.LONG, 0.9, 0.5, own_s=0.5, backlog_s=0.5), LONG_GOALS)
 
-    def test_small_one_is_begun_beside_the_same_work(self):
+    def test_small_prompt_is_accepted_with_the_same_backlog(self):
         assert not overload_reason(plan(Lane.LONG, 0.9, 0.1, own_s=0.03, backlog_s=0.5), LONG_GOALS)
 
-    def test_largest_one_is_begun_when_little_is_under_way(self):
-        """A prompt of a million tokens takes 20 engines 2.3 s each, and idle ones aren't refused
-        to it."""
+    def test_largest_prompt_is_accepted_with_a_small_backlog(self):
+        """Guards against rejecting a prompt of a million tokens, which takes 20 engines 2.3 s
+        each, while the engines are almost idle."""
         assert not overload_reason(plan(Lane.LONG, 2.6, 2.5, own_s=2.3, backlog_s=0.1), LONG_GOALS)
--- a/packages/proxy/tests/test_apart.py
+++ b/packages/proxy/tests/test_apart.py
@@ -1,79 +1,82 @@
-"""Where requests go under which a server has crashed, replayed for several entries at once."""
+"""Placement of suspect requests after a server crash, simulated for several entries."""
 
 from __future__ import annotations
 
 import random
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.apart import MOST_DEALT, dealt_server
+from sassafrastally.proxy.apart import MAX_ASSIGNED_REQUESTS, dealt_server
 from sassafrastally.proxy.lanes import ServerView
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.model import BackendServer
 
 
 def view(number: int, suspects: int = 0) -> ServerView:
-    """Return a server that runs some requests with crashes against them."""
+    """Return a server that runs that many suspect requests."""
     server = BackendServer(f"s{number}", "engines", Address("h", number), "here", 8, False)
     return ServerView(server, Work(suspect_requests=suspects), False, 1.0)
 
 
-def dealt(views, fingerprint: int, others) -> str:
-    """Return the server that a request is dealt."""
-    (found,) = dealt_server(views, fingerprint, with_crashes(fingerprint, *others))
+def assigned_server(views, fingerprint: int, others) -> str:
+    """Return the id of the server that a request is assigned to."""
+    (found,) = dealt_server(views, fingerprint, crash_counts(fingerprint, *others))
     return found.server.server_id
 
 
-def with_crashes(*fingerprints: int, crashes: int = 1) -> dict[int, int]:
-    """Return requests that were on as many crashed servers each."""
+def crash_counts(*fingerprints: int, crashes: int = 1) -> dict[int, int]:
+    """Return requests that were each on that many crashed servers."""
     return dict.fromkeys(fingerprints, crashes)
 
 
-class TestDealing:
-    """Requests that were on one crashed server."""
+class TestAssignment:
+    """Assignment of requests that were on one crashed server."""
 
-    def test_each_goes_to_a_server_of_its_own_whichever_entry_sends_it(self):
-        """Eight requests of four entries were on a server that crashed, one of them harmful. What
-        meets the harmful one again is broken off for good; if it meets it a third time, it is
-        quarantined with it."""
+    def test_each_request_gets_its_own_server_whichever_entry_sends_it(self):
+        """Eight requests of four entries were on a server that crashed, and one of them is harmful.
+        A request that shares a server with the harmful one again fails for good; after a third time
+        it is quarantined together with it."""
         draw = random.Random(3)
         views = [view(number) for number in range(13)]
         for _ in range(200):
-            beside = [draw.getrandbits(64) for _ in range(8)]
+            suspects_on_server = [draw.getrandbits(64) for _ in range(8)]
             found = []
-            for one in beside:
-                others = [other for other in beside if other != one]
-                draw.shuffle(others)  # Entries learn of them in different order.
-                found.append(dealt(views, one, others))
+            for one in suspects_on_server:
+                others = [other for other in suspects_on_server if other != one]
+                draw.shuffle(others)  # Entries learn of them in different orders.
+                found.append(assigned_server(views, one, others))
             assert len(set(found)) == 8
 
-    def test_one_body_asked_by_many_goes_to_one_server(self):
+    def test_identical_bodies_go_to_one_server(self):
         views = [view(number) for number in range(13)]
-        assert len({dealt(views, 77, [1, 2, 3]) for _ in range(20)}) == 1
+        assert len({assigned_server(views, 77, [1, 2, 3]) for _ in range(20)}) == 1
 
-    def test_servers_that_run_another_one_are_passed_over(self):
+    def test_servers_that_run_another_suspect_request_are_avoided(self):
         views = [view(number, suspects=number != 4) for number in range(13)]
-        assert all(dealt(views, one, []) == "s4" for one in range(50))
+        assert all(assigned_server(views, one, []) == "s4" for one in range(50))
 
-    def test_more_requests_than_servers_leave_the_choice_open(self):
+    def test_requests_beyond_the_number_of_servers_can_use_any_server(self):
         views = [view(number) for number in range(3)]
-        beside = list(range(10))
-        found = [dealt_server(views, one, with_crashes(*beside)) for one in beside]
+        suspects_on_server = list(range(10))
+        found = [
+            dealt_server(views, one, crash_counts(*suspects_on_server))
+            for one in suspects_on_server
+        ]
         assert [len(one) for one in found] == [1, 1, 1] + [3] * 7
-        assert dealt_server([], 1, with_crashes(1)) == []
+        assert dealt_server([], 1, crash_counts(1)) == []
 
-    def test_many_beside_it_cost_no_more_than_some(self):
+    def test_number_of_assigned_requests_is_bounded(self):
         views = [view(number) for number in range(40)]
-        suspects = with_crashes(1 << 64, *range(MOST_DEALT * 100))
+        suspects = crash_counts(1 << 64, *range(MAX_ASSIGNED_REQUESTS * 100))
         assert len(dealt_server(views, 1 << 64, suspects)) == 1
 
-    def test_two_that_crashed_together_twice_part_among_few_servers(self):
-        """Guards against a good request meeting the harmful one for the third time: both were
-        quarantined."""
+    def test_two_requests_with_two_shared_crashes_are_separated_on_few_servers(self):
+        """Guards against a harmless request sharing a third crash with the harmful one: both would
+        be quarantined."""
         draw = random.Random(5)
         for _ in range(500):
             first, second, *others = (draw.getrandbits(64) for _ in range(10))
-            suspects = with_crashes(*others) | with_crashes(first, second, crashes=2)
-            # Each entry has its own knowledge of where suspects run.
+            suspects = crash_counts(*others) | crash_counts(first, second, crashes=2)
+            # Entries differ in which servers they know to run suspect requests.
             found = [
                 dealt_server([view(n, draw.randrange(2)) for n in range(3)], one, suspects)
                 for one in (first, second, *others)
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions without I/O: routes, the budget of repeats, suspicion, events, load."""
+"""Decisions without I/O: routes, retry budget, outlier ejection, events, load."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     ServiceShare,
 )
 from sassafrastally.proxy.moving import is_worth_moving, remaining_s
-from sassafrastally.proxy.pace import BELIEVED_S, Paces
+from sassafrastally.proxy.pace import REPORT_VALID_S, Paces
 from sassafrastally.proxy.plain_placement import place_plain
 from sassafrastally.proxy.report_duty import has_report_duty
 from sassafrastally.proxy.routes import RouteTable, choose_service
@@ -51,11 +51,11 @@
 
 
 class TestRetryBudget:
-    """Repeats while many servers fail."""
+    """Retries while many servers fail."""
 
-    def test_all_entries_together_stay_within_the_window(self):
-        """All servers fail at once and every request wants a repeat. Four entries, each with its
-        part of the budget, must not send more than the operators allow for all."""
+    def test_all_entries_together_stay_within_the_budget(self):
+        """All servers fail at once and every request needs a retry. Four entries, each with its
+        part of the budget, must not exceed the configured budget together."""
         budgets = [RetryBudget(0.2, 100, 10.0) for _ in range(4)]
         sent = 0
         for step in range(1000):
@@ -64,23 +64,23 @@
             sent += budget.take("s", 4, step / 100)
         assert 100 < sent <= 0.2 * 1000 + 100
 
-    def test_window_moves_on(self):
+    def test_budget_is_restored_as_the_window_slides(self):
         budget = RetryBudget(0.0, 10, 10.0)
         assert sum(budget.take("s", 1, 0.0) for _ in range(20)) == 6
         assert budget.take("s", 1, 11.0)
 
 
 class TestSuspicion:
-    """Servers left alone."""
+    """Outlier ejection after failures."""
 
-    def test_one_failure_is_not_enough_unless_it_is_clear(self):
+    def test_one_failure_ejects_a_server_only_if_it_is_clear(self):
         suspicion = Suspicion()
         suspicion.failed("a", 0.0, is_clear=False)
         assert not suspicion.is_suspect("a", 0.0)
         suspicion.failed("b", 0.0, is_clear=True)
         assert suspicion.is_suspect("b", 0.5)
 
-    def test_time_doubles_up_to_a_bound_and_success_ends_it(self):
+    def test_ejection_time_doubles_up_to_a_bound_and_success_ends_it(self):
         suspicion = Suspicion()
         times = [suspicion.failed("a", 100.0 * n, is_clear=True) for n in range(6)]
         assert times == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
@@ -89,19 +89,19 @@
 
 
 class TestServices:
-    """Choices between services and plain servers."""
+    """Choice of services and of servers of plain services."""
 
     @given(st.floats(0, 0.999), st.lists(st.floats(0.1, 100), min_size=1, max_size=5))
     def test_some_service_is_always_chosen(self, draw, weights):
         shares = tuple(ServiceShare(str(n), weight) for n, weight in enumerate(weights))
         assert choose_service(shares, draw) in {share.service for share in shares}
 
-    def test_weights_count(self):
+    def test_services_are_chosen_in_proportion_to_their_weights(self):
         shares = (ServiceShare("a", 90), ServiceShare("b", 10))
         chosen = [choose_service(shares, n / 1000) for n in range(1000)]
         assert chosen.count("a") == 900
 
-    def test_plain_request_goes_to_the_least_busy_server_and_then_to_a_near_one(self):
+    def test_plain_request_goes_to_the_least_busy_server_then_to_the_own_data_centre(self):
         def view(name: str, place: str, requests: int) -> ServerView:
             server = BackendServer(name, "desk", Address("10.0.0.1", 1), place, 6, False)
             return ServerView(server, Work(plain_requests=requests))
@@ -114,11 +114,11 @@
 
 
 class TestUnseenRequests:
-    """Requests of entries that aren't heard."""
+    """Requests of entries that can't be reached."""
 
-    def test_excess_counts_for_a_while(self):
-        """An entry is cut off from its peers and fills the same engines. What an answer tells
-        beyond the known requests keeps further ones away, until newer answers tell less."""
+    def test_excess_counts_until_it_expires(self):
+        """An entry that is partitioned from its peers fills the same engines. The excess stated in
+        an answer over the known requests counts as load until a newer answer states less."""
         unseen = UnseenRequests()
         unseen.note("a", ServerLoad(7, 1, 8), known=2, now_s=0.0)
         assert unseen.at("a", 0.5) == 5
@@ -128,18 +128,18 @@
 
 
 class TestSlowness:
-    """Engines that work slower than their figures."""
+    """Detection of engines that are slower than their figures."""
 
-    def test_slow_events_in_a_row_make_an_engine_slow_for_a_while(self):
-        """An engine turns four times slower. It answers everything, so that nothing fails, and each
-        dossier that it reads a part of waits for that part."""
+    def test_consecutive_slow_events_eject_an_engine_for_a_while(self):
+        """An engine becomes four times slower. It still answers, so no request fails, but each long
+        prompt that it prefills a part of waits for that part."""
         slowness = Slowness()
         found = [slowness.note_slow("a", 8, 0.2 * n) for n in range(4)]
         assert found == [False, False, False, True]
         assert "a" in slowness.slow_servers(1.0)
         assert slowness.slow_servers(9.0) == {}
 
-    def test_one_usual_event_between_them_clears_it(self):
+    def test_one_usual_event_resets_the_count(self):
         slowness = Slowness()
         for n in range(20):
             if n % 4 == 3:
@@ -147,115 +147,117 @@
             else:
                 assert not slowness.note_slow("a", 8, 0.2 * n)
 
-    def test_most_engines_are_never_left_alone(self):
-        """This process is starved or its link loses packets, so that all engines seem slow. Without
-        most of them the rest would be flooded."""
+    def test_most_engines_are_never_ejected(self):
+        """All engines seem slow when this process is starved of CPU or its link loses packets.
+        Ejecting most of them would overload the rest."""
         slowness = Slowness()
         names = [f"e{n}" for n in range(8)] * 6
         assert sum(slowness.note_slow(name, 8, 0.01 * n) for n, name in enumerate(names)) == 2
         assert len(slowness.slow_servers(1.0)) == 2
 
-    def test_usual_events_beside_a_prompt_of_their_own_length_are_not_slow(self):
-        """A full engine writes for eight requests, and reads a short prompt in some passes."""
+    def test_events_during_the_prefill_of_a_short_prompt_are_not_slow(self):
+        """A full engine decodes eight requests and prefills a short prompt in some passes."""
         busiest_s = (pass_ms(FIGURES, 8, 405_000) + reading_ms(FIGURES, 5000)) / 1000
         assert busiest_s < slow_event_time_s(FIGURES)
 
 
 class TestPace:
-    """Engines that report themselves slow."""
+    """Paces from the reports of engines."""
 
-    def test_each_engine_is_asked_by_one_entry_and_few_change_hands(self):
+    def test_each_engine_is_polled_by_one_entry_and_few_are_reassigned(self):
         hosts = [f"10.0.0.{n}" for n in range(6)]
         engines = [f"i-{n}" for n in range(200)]
 
-        def asked_by(present: list[str]) -> dict[str, list[str]]:
+        def polled_by(present: list[str]) -> dict[str, list[str]]:
             return {
                 engine: [host for host in present if has_report_duty(engine, host, present)]
                 for engine in engines
             }
 
-        before, after = asked_by(hosts), asked_by(hosts[1:])
-        assert all(len(askers) == 1 for askers in before.values())
+        before, after = polled_by(hosts), polled_by(hosts[1:])
+        assert all(len(pollers) == 1 for pollers in before.values())
         changed = [engine for engine in engines if before[engine] != after[engine]]
         assert all(before[engine] == [hosts[0]] for engine in changed)
 
-    def test_report_is_believed_for_a_while(self):
+    def test_report_expires(self):
         paces = Paces()
         paces.note("a", 5.0, 10.0)
         paces.note("b", 1.1, 10.0)
         assert paces.slow(10.5) == {"a": 5.0}
-        assert paces.slow(10.0 + BELIEVED_S) == {}
+        assert paces.slow(10.0 + REPORT_VALID_S) == {}
 
-    def test_reading_moves_when_its_goal_is_lost_here_and_met_elsewhere(self):
-        """A dossier was predicted within 0.5 s; one of its engines turned five times slower."""
+    def test_prefill_moves_when_it_misses_its_goal_here_and_is_much_sooner_elsewhere(self):
+        """A prompt was predicted within 0.5 s, and one of its engines became five times slower."""
         assert remaining_s(1.0, 0.5, 5.0) == pytest.approx(1.5)
         assert is_worth_moving(2.4, 0.5, goal_left_s=1.5)
         assert not is_worth_moving(1.2, 0.5, goal_left_s=1.5)
         assert not is_worth_moving(2.4, 2.0, goal_left_s=1.5)
 
-    def test_reading_that_has_hardly_begun_takes_its_whole_time_at_the_pace(self):
+    def test_prefill_that_has_just_started_takes_its_whole_time_at_the_pace(self):
         assert remaining_s(0.0, 0.5, 4.0) == pytest.approx(2.0)
 
 
 class TestLeavingServers:
-    """Refusals by servers of which nobody tells that they leave."""
+    """Rejections by servers that are leaving without a notice from the store."""
 
-    def test_refusal_that_no_load_explains_while_no_news_comes(self):
-        """A quarter of the engines drain while the store is away; each dossier meets one of them.
-        An engine that is full refuses too, and must not be left alone for seconds for it."""
+    def test_rejection_without_load_and_without_recent_news(self):
+        """A quarter of the engines drain while the store is unavailable, so each long prompt is
+        placed on one of them. A full engine rejects requests too and must not be avoided for
+        seconds."""
         idle, full = Work(short_requests=1), Work(short_requests=3, reading_requests=1)
         assert looks_leaving(idle, 5, news_age_s=3.0)
         assert not looks_leaving(full, 5, news_age_s=3.0)
         assert not looks_leaving(idle, 5, news_age_s=0.3)
 
-    def test_is_left_alone_until_it_is_gone_or_known_to_stay(self):
+    def test_is_avoided_until_it_is_gone_or_confirmed_to_stay(self):
         leaving = LeavingServers()
         leaving.note("a", 10.0)
         assert leaving.left_alone(11.0, confirmed_s=8.0) == {"a": 7.0}
         assert leaving.left_alone(12.5, confirmed_s=11.5) == {"a": 5.5}
         assert leaving.left_alone(13.0, confirmed_s=12.5) == {}
 
-    def test_is_not_asked_for_longer_than_it_takes_to_leave(self):
+    def test_is_avoided_no_longer_than_it_takes_to_leave(self):
         leaving = LeavingServers()
         leaving.note("a", 10.0)
         assert leaving.left_alone(18.0, confirmed_s=8.0) == {}
 
 
 class TestTurningAway:
-    """When callers come back."""
+    """Load shedding and retry delays."""
 
-    def test_callers_of_one_burst_come_back_spread_and_within_what_they_honour(self):
-        """A burst of six times what the engines take lasts for six seconds. Told to come back in
-        half a second, all of them met the same burst again, and were turned away for good."""
+    def test_retry_delays_of_one_burst_are_spread_and_honoured_by_callers(self):
+        """Guards against callers that retry within the burst that rejected them: a burst of six
+        times the capacity of the engines lasts six seconds, and with a retry delay of 0.5 s all
+        callers were rejected for good."""
         times_s = [come_back_after_s(9.9, n / 200) for n in range(200)]
         assert min(times_s) > 1.9
         assert max(times_s) <= 9.9 / 3
         assert max(times_s) - min(times_s) > 1.0
 
-    def test_caller_that_would_leave_before_its_answer_is_turned_away(self):
-        """Ten dossiers are being read one after the other. An eleventh would be answered after
-        twenty seconds, and its caller leaves after twelve: it waited in vain, and what was read
-        for it kept the next ones waiting too."""
+    def test_caller_that_would_disconnect_before_its_answer_is_rejected(self):
+        """Ten long prompts are prefilled one after the other. The answer to an eleventh would start
+        after 20 s, while its caller disconnects after 12 s. Its prefill would be wasted and delay
+        the next prompts."""
         assert is_hopeless(20.0, 12.0, 14.9)
         assert is_hopeless(3.0, 12.0, 2.5)
         assert not is_hopeless(3.0, 12.0, 14.9)
         assert not is_hopeless(3.0, 12.0, None)
 
-    def test_short_deadline_gets_a_short_time(self):
+    def test_short_time_limit_gets_a_short_delay(self):
         assert come_back_after_s(0.5, 1.0) < 0.17
         assert come_back_after_s(0.0, 0.5) > 0
         assert come_back_after_s(None, 0.5) > 1
 
 
 class TestWatchDuty:
-    """Who watches the store."""
+    """Which entries watch the store."""
 
     HOSTS = tuple(f"10.0.0.{number}" for number in range(1, 28))
 
     def duties(
         self, ages_s: dict[str, float], links_mbps: dict[str, int] | None = None
     ) -> list[str]:
-        """Return the entries that watch, each seeing all others."""
+        """Return the entries that watch if each knows all others."""
         entries = [
             OtherEntry(host, age_s, (links_mbps or {}).get(host, 100))
             for host, age_s in ages_s.items()
@@ -269,27 +271,28 @@
     def test_two_of_many_watch(self):
         assert len(self.duties(dict.fromkeys(self.HOSTS, 0.5))) == 2
 
-    def test_all_watch_when_none_has_an_answer(self):
+    def test_all_watch_when_the_store_answers_none(self):
         assert len(self.duties(dict.fromkeys(self.HOSTS, 9.0))) == 27
 
-    def test_few_step_in_when_the_watchers_have_no_answer(self):
-        """The store keeps its watches waiting for two seconds. If all entries stepped in together,
-        each would watch, and read everything when the store has dropped its history."""
+    def test_few_take_over_when_the_watchers_get_no_answer(self):
+        """The store delays its answers to watches by two seconds. If all entries took over at once,
+        each of them would watch, and would read everything again if the store has compacted its
+        history."""
         hosts = [f"10.0.0.{n}" for n in range(68)]
         assert len(self.duties(dict.fromkeys(hosts, 1.6))) == FIRST_STEP
         assert len(self.duties(dict.fromkeys(hosts, 1.9))) == 3 * FIRST_STEP
         assert len(self.duties(dict.fromkeys(hosts, FRESH_S + LAST_STEP_S))) == 68
 
     def test_the_fastest_links_watch(self):
-        """Twenty versions of half a megabyte come within two seconds. A watcher on a link of ten
-        megabits a second would have the last one after nine, and everyone behind it too."""
+        """Twenty versions of 0.5 MB arrive within two seconds. A watcher on a link of 10 Mbit/s
+        would receive the last one after nine seconds, and so would all entries that rely on it."""
         links_mbps = dict.fromkeys(self.HOSTS[:25], 10)
         watching = self.duties(dict.fromkeys(self.HOSTS, 0.5), links_mbps)
         assert sorted(watching) == sorted(self.HOSTS[25:])
 
-    def test_next_one_steps_in_for_one_that_is_cut_off(self):
-        """One of the two watchers is cut off from the store and goes on telling its peers what it
-        knows. If they relied on it, the other one's death would leave everyone without changes."""
+    def test_next_entry_takes_over_from_a_partitioned_watcher(self):
+        """One of the two watchers is partitioned from the store and still sends its peers what it
+        knows. If they relied on it, no entry would get changes after a crash of the other one."""
         first, second = self.duties(dict.fromkeys(self.HOSTS, 0.5))
         ages_s = {**dict.fromkeys(self.HOSTS, 0.5), first: 5.0}
         watching = self.duties(ages_s)
@@ -298,10 +301,10 @@
 
 
 class TestEvents:
-    """Events cut out of a body."""
+    """Splitting of a body into events."""
 
     @given(st.lists(st.integers(1, 60), min_size=1), st.integers(1, 20))
-    def test_any_cut_of_the_bytes_gives_the_same_events(self, sizes, step):
+    def test_any_split_of_the_bytes_gives_the_same_events(self, sizes, step):
         body = b"".join(f"id: {n}\ndata: {'x' * size}\n\n".encode() for n, size in enumerate(sizes))
         splitter = EventSplitter()
         events = []
@@ -313,9 +316,9 @@
 
 
 class TestLoad:
-    """Work by backend server."""
+    """Accounting of work by backend server."""
 
-    def test_reading_counts_until_the_first_event_and_memory_until_the_end(self):
+    def test_prefill_counts_until_the_first_event_and_memory_until_the_end(self):
         ledger = Ledger()
         flight = Flight("a", Lane.LONG, {"a": 100, "b": 50}, (Part("a", 500.0), Part("b", 500.0)))
         ledger.add(flight, 0.0)
@@ -326,20 +329,20 @@
         ledger.remove(flight, 0.5)
         assert ledger.work(0.5) == {}
 
-    def test_reading_that_is_overdue_keeps_its_engines_busy(self):
-        """A dossier should have been read after 3 s and isn't: parts that came later are read
-        first. Its engines look idle by the plan, and a burst of short prompts goes there and waits.
-        """
+    def test_overdue_prefill_keeps_its_engines_busy(self):
+        """A long prompt is still in prefill after its predicted 3 s, because later parts are
+        prefilled first. If its engines counted as idle, a burst of short prompts would be placed
+        there and wait."""
         ledger = Ledger()
         ledger.add(Flight("a", Lane.LONG, {"a": 100}, (Part("a", 2900.0),), due_s=3.0), 0.0)
         assert ledger.work(2.8)["a"].reading_ms == pytest.approx(100.0)
         assert ledger.work(3.05)["a"].reading_ms == pytest.approx(UNFINISHED_READING_MS)
         assert ledger.work(3.6)["a"].reading_ms == pytest.approx(500.0)
 
-    def test_parts_of_two_entries_on_one_engine_are_read_one_after_the_other(self):
-        """Two entries have placed a part of half a second on one engine. Each counted its own part
-        down by itself, so that after 0.6 s the engine looked idle with 0.4 s still to read, and
-        the next prompt went there."""
+    def test_parts_of_two_entries_on_one_engine_are_prefilled_in_sequence(self):
+        """Two entries have placed a part of 0.5 s each on one engine. Guards against each entry
+        counting down its own part separately: after 0.6 s the engine would look idle with 0.4 s of
+        prefill left, and get the next prompt."""
         first, second = Ledger(), Ledger()
         for ledger, other in ((first, second), (second, first)):
             ledger.others = lambda other=other: [{server_hash("a"): Work(reading_ms=left(other))}]
@@ -349,24 +352,24 @@
             return sum(part_ms for flight in ledger._flights for part_ms in flight.left_ms.values())
 
         for tenth in range(1, 7):
-            told = [ledger.work(tenth / 10)["a"].reading_ms for ledger in (first, second)]
-        assert sum(told) == pytest.approx(400.0, rel=0.1)
-
-    def test_one_late_part_does_not_make_all_engines_of_a_prompt_look_busy(self):
-        """A dossier is read by 17 engines and waits for one of them, by now for 1.9 s longer than
-        predicted. Entries believed in as much reading on each of the 17: 550 s in all at one moment
-        of an overload, where 30 s were left, and turned callers away while 25 of 78 engines idled.
-        """
+            backlogs_ms = [ledger.work(tenth / 10)["a"].reading_ms for ledger in (first, second)]
+        assert sum(backlogs_ms) == pytest.approx(400.0, rel=0.1)
+
+    def test_one_late_part_does_not_mark_all_engines_of_a_prompt_as_busy(self):
+        """A long prompt is prefilled by 17 engines and waits for one of them for 1.9 s longer than
+        predicted. Guards against counting that delay on each of the 17 engines: in an overload this
+        gave a backlog of 550 s instead of 30 s, and callers were rejected while 25 of 78 engines
+        were idle."""
         ledger = Ledger()
         parts = tuple(Part(f"e{number}", 300.0) for number in range(17))
         ledger.add(Flight("e0", Lane.LONG, {}, parts, due_s=0.4), 0.0)
-        believed_ms = sum(work.reading_ms for work in ledger.work(2.4).values())
-        assert believed_ms == pytest.approx(1900.0)
+        backlog_ms = sum(work.reading_ms for work in ledger.work(2.4).values())
+        assert backlog_ms == pytest.approx(1900.0)
 
     def test_lost_answers_of_one_engine_do_not_add_up(self):
-        """A third of the answers are lost on the way. Three prompts at one engine are late by a
-        second each, and it has long been idle. It seemed to have three seconds to read; with all
-        engines alike, one caller in fourteen was turned away."""
+        """A third of the answers are lost on the network. Three prompts on one engine are late by a
+        second each while it is idle. Guards against adding them up to a backlog of three seconds:
+        with that on all engines, one caller in fourteen was rejected."""
         ledger = Ledger()
         for number in range(3):
             part = Part("a", 30.0)
@@ -383,7 +386,7 @@
 
 
 class TestRouteTable:
-    """The route of a path."""
+    """Lookup of the route of a path."""
 
     PARTS = ("", "a", "b", "ab")
 
@@ -395,7 +398,7 @@
         )
 
     def linear(self, routes: list[Route], host: str, path: str) -> Route | None:
-        """Search all routes, as the sentence in the configuration's description says."""
+        """Search all routes linearly, as the description of the configuration specifies."""
         fitting = [r for r in routes if r.host == host and path.startswith(r.path_prefix)]
         return max(fitting, key=lambda route: len(route.path_prefix), default=None)
 
@@ -403,7 +406,7 @@
         st.lists(st.tuples(st.sampled_from("hg"), st.lists(st.sampled_from(PARTS), max_size=3))),
         st.lists(st.sampled_from(PARTS), max_size=4),
     )
-    def test_is_the_one_that_a_search_through_all_finds(self, declared, parts):
+    def test_matches_a_linear_search(self, declared, parts):
         prefixes = dict.fromkeys((h, "/" + "".join(p + "/" for p in ps)) for h, ps in declared)
         routes = [self.route(host, prefix) for host, prefix in prefixes]
         path = "/" + "/".join(parts)
--- a/packages/proxy/tests/test_placement.py
+++ b/packages/proxy/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where prompts go, by the loads that the placement answers."""
+"""Placement of prompts under the loads that it is designed for."""
 
 from __future__ import annotations
 
@@ -27,29 +27,30 @@
 
 
 class TestEngineTime:
-    """The model against the published arithmetic."""
+    """The time model against the published figures."""
 
     @pytest.mark.parametrize(
         ("tokens", "expected_ms"), [(5000, 34), (45_000, 456), (182_000, 3865)]
     )
-    def test_reading(self, tokens, expected_ms):
+    def test_prefill(self, tokens, expected_ms):
         assert reading_ms(FIGURES, tokens) == pytest.approx(expected_ms, rel=0.03)
 
-    def test_pass_with_eight_writers_of_short_prompts(self):
+    def test_pass_with_eight_decoding_short_requests(self):
         assert pass_ms(FIGURES, 8, 40_000) == pytest.approx(48, rel=0.03)
 
 
 class TestReadingLimits:
-    """What reading may add to a pass, by routes and engines."""
+    """Limits on the prefill time in a pass, from routes and engines."""
 
     def test_usual_routes_on_usual_engines(self):
         limits = reading_limits([route(0.25), route(0.6), route(1.0)], FIGURES)
         for derived, usual in zip(limits, LIMITS, strict=True):
             assert derived == pytest.approx(usual, rel=0.05)
 
-    def test_short_prompt_is_read_in_smaller_parts_where_pauses_are_short_and_passes_long(self):
-        """Engines that are 2.5 times slower, and callers who notice a pause of 120 ms. A prompt of
-        5,000 tokens read in one piece makes the pauses of all that the engine writes too long."""
+    def test_short_prompt_is_split_into_smaller_parts_if_pauses_are_short_and_passes_long(self):
+        """Engines are 2.5 times slower and callers notice a pause of 120 ms. Prefilling a prompt of
+        5,000 tokens in one part makes the pauses of all requests that the engine decodes too
+        long."""
         slow = FIGURES._replace(step_ms=3.3, read_tokens_per_ms=62.0, stride_steps=17)
         limits = reading_limits([route(0.12), route(0.29), route(0.48)], slow)
         assert pass_ms(slow, 8, 0) + 3 * limits.short_part_ms < 120
@@ -57,25 +58,25 @@
         placement = place_prompt(lanes, Lane.SHORT, SHORT, 0.3, slow, limits, ALONE)
         assert len(placement.parts) >= 3
 
-    def test_lanes_are_told_apart_by_proportion(self):
+    def test_lanes_are_distinguished_by_the_ratio_of_pauses(self):
         limits = reading_limits([route(0.12), route(0.29), route(0.48)], FIGURES)
         assert lane_of(route(0.12), SHORT, FIGURES, limits) is Lane.SHORT
         assert lane_of(route(0.29), SHORT, FIGURES, limits) is Lane.LONG
 
-    def test_routes_that_allow_the_same_share_one_lane(self):
+    def test_routes_with_equal_pauses_share_one_lane(self):
         limits = reading_limits([route(0.6), route(0.6)], FIGURES)
         assert lane_of(route(0.6), SHORT, FIGURES, limits) is Lane.SHORT
 
 
 class TestLanes:
-    """How engines are divided."""
+    """Split of the engines into lanes."""
 
     def test_lane_follows_the_pause_that_a_route_allows(self):
         assert lane_of(route(0.25), SHORT, FIGURES, LIMITS) is Lane.SHORT
         assert lane_of(route(1.0), SHORT, FIGURES, LIMITS) is Lane.LONG
         assert lane_of(route(0.25), PromptSize(900_000, 1), FIGURES, LIMITS) is Lane.LONG
 
-    def test_short_lane_gets_what_it_needs_and_the_long_one_the_rest(self):
+    def test_short_lane_gets_what_it_needs_and_the_long_lane_the_rest(self):
         quiet = split_lanes(views([Work()] * 23), FIGURES)
         assert (len(quiet.long), len(quiet.short)) == (22, 1)
         busy = split_lanes(views([Work(short_requests=4)] * 23), FIGURES)
@@ -83,15 +84,15 @@
         flooded = split_lanes(views([Work(short_requests=8)] * 23), FIGURES)
         assert len(flooded.long) == 3
 
-    def test_one_engine_is_in_both(self):
+    def test_single_engine_is_in_both_lanes(self):
         only = split_lanes(views([Work()]), FIGURES)
         assert only.long == only.short
 
 
 class TestShortPrompts:
-    """Short prompts beside long ones."""
+    """Short prompts next to long ones."""
 
-    def test_goes_where_nothing_long_is_read(self):
+    def test_avoids_engines_that_prefill_long_prompts(self):
         works = [Work(reading_ms=900.0, long_requests=1)] * 4 + [Work(short_requests=2)] * 2
         placement = place_prompt(
             split_lanes(views(works), FIGURES), Lane.SHORT, SHORT, 0.3, FIGURES, LIMITS, ALONE
@@ -99,10 +100,10 @@
         assert placement.server.server_id in ("e4", "e5")
         assert placement.predicted_s < 0.2
 
-    def test_uses_an_idle_engine_of_the_long_lane_when_its_own_lane_still_reads(self):
-        """The mix turns from long to short within a second. The short lane grows by engines that
-        still read a dossier; a short prompt there waits for over a second, though an engine of the
-        long lane is idle."""
+    def test_uses_an_idle_engine_of_the_long_lane_while_its_own_lane_still_prefills(self):
+        """The mix changes from long to short within a second, and the short lane grows by engines
+        that still prefill a long prompt. A short prompt placed there would wait for over a second
+        while an engine of the long lane is idle."""
         busy = Work(reading_ms=1200.0, reading_requests=1, long_requests=1)
         works = [Work()] * 2 + [busy] * 6 + [Work(short_requests=8)] * 4
         placement = place_prompt(
@@ -123,7 +124,7 @@
         )
         assert len(placement.helpers) == 2
 
-    def test_nothing_fits_when_all_slots_are_taken(self):
+    def test_no_placement_when_all_slots_are_taken(self):
         works = [Work(short_requests=8)] * 3
         assert (
             place_prompt(
@@ -134,16 +135,16 @@
 
 
 class TestLongPrompts:
-    """Long prompts beside short ones."""
+    """Long prompts next to short ones."""
 
-    def test_is_read_by_enough_idle_engines_to_meet_its_goal(self):
+    def test_is_prefilled_by_enough_idle_engines_to_meet_its_goal(self):
         placement = place_prompt(
             split_lanes(views([Work()] * 23), FIGURES), Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE
         )
         assert len(placement.helpers) >= 8
         assert placement.predicted_s < 1.0
 
-    def test_does_not_hold_up_short_requests_when_others_are_free(self):
+    def test_does_not_delay_short_requests_when_other_engines_are_free(self):
         works = [Work()] * 8 + [Work(short_requests=5)] * 15
         placement = place_prompt(
             split_lanes(views(works), FIGURES), Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE
@@ -151,21 +152,21 @@
         used = {part.life_id for part in placement.parts}
         assert used <= {f"e{number}" for number in range(8)}
 
-    def test_engines_that_lead_dossiers_still_being_read_help_with_the_next(self):
-        """Dossiers come faster than their answers begin. Counted as if they were being written, the
-        engines that lead them seemed too dear to hold up, and the next one was read by two or three
-        engines for five seconds."""
-        leading = Work(long_requests=1, reading_requests=1, tokens=200_000, reading_ms=450.0)
-        works = [leading] * 12 + [Work(short_requests=5)] * 8
+    def test_engines_that_answer_prompts_in_prefill_help_with_the_next_prompt(self):
+        """Long prompts arrive faster than their answers start. Guards against counting them as if
+        they were being decoded: their engines would seem too expensive to delay, and two or three
+        engines would prefill the next prompt for five seconds."""
+        answering = Work(long_requests=1, reading_requests=1, tokens=200_000, reading_ms=450.0)
+        works = [answering] * 12 + [Work(short_requests=5)] * 8
         lanes = split_lanes(views(works), FIGURES)
         placement = place_prompt(lanes, Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE)
         assert len(placement.parts) >= 6
         assert placement.predicted_s < 0.5 * 3.0
 
-    def test_does_not_queue_behind_a_dossier_when_thin_parts_are_possible(self):
-        """A dossier of ten seconds is being read by the few engines of the long lane, in a time of
-        many short requests. A prompt of medium length behind it would miss its goal by far, though
-        the short lane could read it in parts that nobody notices."""
+    def test_does_not_queue_behind_a_long_prompt_when_small_parts_are_possible(self):
+        """During a load of mostly short requests, the few engines of the long lane prefill a prompt
+        that takes ten seconds. A prompt of medium length queued behind it would miss its goal by
+        far, while the short lane can prefill it in parts that cause no noticeable pause."""
         works = [Work(reading_ms=9000.0, reading_requests=1, long_requests=1)] * 3
         works += [Work(short_requests=5)] * 20
         placement = place_prompt(
@@ -179,7 +180,7 @@
         )
         assert placement.predicted_s < 0.9
 
-    def test_memory_over_one_engine_is_held_by_several(self):
+    def test_prompt_larger_than_one_engine_is_held_by_several(self):
         placement = place_prompt(
             split_lanes(views([Work()] * 12), FIGURES),
             Lane.LONG,
@@ -195,17 +196,17 @@
         helpers = {helper.server_id for helper in placement.helpers}
         assert all(holding.server.server_id in helpers for holding in placement.holdings[1:])
 
-    def test_engine_whose_memory_is_given_out_does_not_answer(self):
+    def test_engine_without_free_memory_does_not_answer(self):
         works = [Work(tokens=300_000, long_requests=1)] * 2 + [Work()] + [Work(short_requests=3)]
         placement = place_prompt(
             split_lanes(views(works), FIGURES), Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE
         )
         assert placement.server.server_id == "e2"
 
-    def test_memory_that_is_given_out_twice_is_never_negative(self):
-        """Under a flood, entries that place at the same moment give out more memory of an engine
-        than it has. A plan that counted the lack as negative room ended the process, because its
-        share could not be told to the peers."""
+    def test_free_memory_of_an_overcommitted_engine_is_never_negative(self):
+        """Under heavy load, entries that place prompts at the same time overcommit the memory of an
+        engine. Guards against a plan with a negative holding, which can't be encoded in the reports
+        to the peers and ended the process."""
         works = [Work(tokens=420_000, long_requests=2)] + [Work(short_requests=8)] * 11
         placement = place_prompt(
             split_lanes(views(works), FIGURES),
@@ -218,7 +219,7 @@
         )
         assert placement is None or all(holding.tokens > 0 for holding in placement.holdings)
 
-    def test_prompt_over_all_memory_has_no_place(self):
+    def test_no_placement_for_a_prompt_larger_than_all_memory(self):
         lanes = split_lanes(views([Work()] * 2), FIGURES)
         assert (
             place_prompt(lanes, Lane.LONG, PromptSize(900_000, 1), 3.0, FIGURES, LIMITS, ALONE)
@@ -227,7 +228,7 @@
 
 
 class TestSlowEngines:
-    """A third of the engines turn five times slower for some seconds."""
+    """A third of the engines are five times slower for some seconds."""
 
     SLOW = frozenset({1, 4, 7, 10, 13, 16, 19})
 
@@ -238,15 +239,15 @@
         ]
 
     @pytest.mark.parametrize("lane", [Lane.SHORT, Lane.LONG])
-    def test_prompt_goes_round_them(self, lane):
-        """A prompt is read in parts by many engines and waits for the slowest. With one slow engine
-        among sixteen, dossiers predicted within 0.4 s began after four."""
+    def test_prompt_avoids_them(self, lane):
+        """A prompt is prefilled in parts by many engines and waits for the slowest one. With one
+        slow engine among 16, answers to long prompts predicted within 0.4 s started after 4 s."""
         prompt, goal_s = (SHORT, 0.3) if lane is Lane.SHORT else (LONG, 3.0)
         placement = place_request(self.fleet(), lane, prompt, goal_s, FIGURES, LIMITS, ALONE)
         assert placement.predicted_s < goal_s
         assert not {part.life_id for part in placement.parts} & {f"e{n}" for n in self.SLOW}
 
-    def test_they_serve_when_no_other_has_room(self):
+    def test_they_are_used_when_no_other_engine_has_room(self):
         full = Work(short_requests=FIGURES.slots)
         views = [
             view if view.pace > 1.0 else view._replace(work=full) for view in self.fleet(pace=2.0)
@@ -254,7 +255,7 @@
         placement = place_request(views, Lane.SHORT, SHORT, 0.3, FIGURES, LIMITS, ALONE)
         assert int(placement.server.server_id[1:]) in self.SLOW
 
-    def test_service_goes_on_when_all_are_slow(self):
+    def test_prompt_is_placed_when_all_are_slow(self):
         views = [view._replace(pace=4.0) for view in self.fleet()]
         placement = place_request(views, Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE)
         quick = place_request(self.fleet(), Lane.LONG, LONG, 3.0, FIGURES, LIMITS, ALONE)
@@ -262,17 +263,17 @@
 
 
 class TestLimitedEngines:
-    """Engines that take few requests."""
+    """Engines with a rate limit."""
 
     def fleet(self, limited: int) -> list[ServerView]:
-        """Return ten idle engines of which the first ones are limited."""
+        """Return ten idle engines, of which that many are limited."""
         return [
             view._replace(is_limited=number < limited)
             for number, view in enumerate(views([NO_WORK] * 10))
         ]
 
-    def test_prompt_is_read_by_the_others(self):
-        """Guards against an engine in need that is given parts of prompts by other engines."""
+    def test_prompt_is_prefilled_by_the_others(self):
+        """Guards against an overloaded engine that gets parts of prompts from other engines."""
         placement = place_request(
             self.fleet(5), Lane.LONG, LONG, 3.0, FIGURES, LIMITS, Scatter(random.Random(1))
         )
@@ -281,8 +282,8 @@
         assert not helpers & {"e0", "e1", "e2", "e3", "e4"}
 
     @pytest.mark.parametrize("tokens", [300_000, 600_000])
-    def test_prompt_that_one_engine_cannot_read_is_read_by_limited_ones_in_need(self, tokens):
-        """Guards against large prompts that nobody answers while all engines are limited."""
+    def test_prompt_too_large_for_one_engine_uses_limited_ones_if_all_are_limited(self, tokens):
+        """Guards against large prompts that are never answered while all engines are limited."""
         prompt = PromptSize(tokens, 650)
         placement = place_request(
             self.fleet(10), Lane.LONG, prompt, 4.0, FIGURES, LIMITS, Scatter(random.Random(1))
--- a/packages/proxy/tests/test_placement_replay.py
+++ b/packages/proxy/tests/test_placement_replay.py
@@ -1,4 +1,4 @@
-"""Placement through a swing of the load, and by many entries at once."""
+"""Placement while the load changes, and by many entries at once."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class Outcome(NamedTuple):
-    """What a replay counted."""
+    """Counts of a replay."""
 
     asked: int
     timely: int
 
 
 class TestReplay:
-    """A day's swing: short requests flood, then long ones, then short ones again."""
+    """A load of mostly short requests, then of long ones, then of short ones again."""
 
     LONG_FROM_S = 6.0
     LONG_UNTIL_S = 14.0
     LENGTH_S = 20.0
 
     def arrivals(self) -> list[tuple[float, Lane, PromptSize]]:
-        """Return the requests of the day: 55 short ones a second, or 9 and three long ones."""
+        """Return the requests: mostly short ones at 55/s, or 9/s next to long ones at 3/s."""
         draw = random.Random(4)
         found = []
         now_s = 0.0
@@ -54,7 +54,7 @@
         return found
 
     def replay(self) -> dict[Lane, Outcome]:
-        """Place all requests by the predictions alone and count the timely first events."""
+        """Place all requests, using only predictions, and count the timely first events."""
         ledger = Ledger()
         ends: list[tuple[float, str, Flight]] = []
         counts = {Lane.SHORT: [0, 0], Lane.LONG: [0, 0]}
@@ -80,7 +80,7 @@
             ends += [(first_s, "first", flight), (first_s + 1.8, "end", flight)]
         return {lane: Outcome(*count) for lane, count in counts.items()}
 
-    def test_both_kinds_are_served_in_time_through_the_swing(self):
+    def test_both_kinds_are_served_in_time_while_the_load_changes(self):
         outcome = self.replay()
         short, long = outcome[Lane.SHORT], outcome[Lane.LONG]
         assert short.timely >= 0.97 * short.asked
@@ -88,38 +88,38 @@
 
 
 class TestManyEntries:
-    """Entries that hear of each other's choices a tenth of a second late."""
+    """Entries that learn of each other's placements with a delay of 0.1 s."""
 
     ENTRIES = 21
     ENGINES = 78
     SLOTS = 6
     RATE_PER_S = 150.0
-    NEWS_AGE_S = 0.1
+    REPORT_DELAY_S = 0.1
     SECONDS = 8.0
 
     def overfilled(self, news_age_s: float) -> float:
-        """Return the share of short requests that meet an engine whose slots are all taken.
+        """Return the share of short requests placed on an engine without a free slot.
 
         Parameters
         ----------
         news_age_s
-            What the entries believe of the age of their news.
+            Report age that the entries assume.
         """
         draw = random.Random(7)
         figures = FIGURES._replace(slots=self.SLOTS)
         scatters = [Scatter(random.Random(n), news_age_s) for n in range(self.ENTRIES)]
         placed: list[tuple[float, float, int, str]] = []
-        late = asked = 0
+        overfilled_count = asked = 0
         now_s = 0.0
         while now_s < self.SECONDS:
             now_s += draw.expovariate(self.RATE_PER_S)
             entry = draw.randrange(self.ENTRIES)
             placed = [row for row in placed if row[1] > now_s]
             running = Counter(row[3] for row in placed)
-            heard = Counter(
-                row[3] for row in placed if row[2] == entry or row[0] < now_s - self.NEWS_AGE_S
+            reported = Counter(
+                row[3] for row in placed if row[2] == entry or row[0] < now_s - self.REPORT_DELAY_S
             )
-            works = [Work(short_requests=heard[f"e{n}"]) for n in range(self.ENGINES)]
+            works = [Work(short_requests=reported[f"e{n}"]) for n in range(self.ENGINES)]
             lanes = split_lanes(views(works), figures, scatters[entry])
             placement = place_prompt(
                 lanes, Lane.SHORT, SHORT, 0.3, figures, LIMITS, scatters[entry]
@@ -127,15 +127,14 @@
             if placement is None:
                 continue
             asked += 1
-            late += running[placement.server.server_id] >= self.SLOTS
+            overfilled_count += running[placement.server.server_id] >= self.SLOTS
             length_s = draw.uniform(0.9, 2.7)
             placed.append((now_s, now_s + length_s, entry, placement.server.server_id))
-        return late / asked
+        return overfilled_count / asked
 
-    def test_do_not_fill_one_engine_at_a_time(self):
-        """A burst of short prompts comes to twenty-one entries. Each takes the next engine of the
-        lane by the same rule and hears a tenth of a second later that all others took it too. A
-        third of the callers wait for a slot, for half a second and more, while other engines idle.
-        """
+    def test_do_not_overfill_one_engine_after_another(self):
+        """A burst of short prompts arrives at 21 entries. Without randomization each of them picks
+        the same next engine of the lane and learns of the others' choices 0.1 s later. A third of
+        the callers then wait for a slot for 0.5 s and longer while other engines are idle."""
         assert self.overfilled(0.0) > 0.3
-        assert self.overfilled(self.NEWS_AGE_S) < 0.1
+        assert self.overfilled(self.REPORT_DELAY_S) < 0.1
--- a/packages/proxy/tests/test_pools.py
+++ b/packages/proxy/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Engines of one data centre as a fleet of their own."""
+"""Pools of engines by data centre."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import NamedTuple
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.lanes import Scatter, ServerView, split_by_centre, split_lanes
+from sassafrastally.proxy.lanes import Scatter, ServerView, split_lanes, split_lanes_by_centre
 from sassafrastally.proxy.load import Lane, Work
 from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.pools import LEAST_ENGINES, divide, stays_near
+from sassafrastally.proxy.pools import MIN_POOL_ENGINES, divide, stays_near
 from sassafrastally.proxy.reading_limits import ReadingLimits
 
 FIGURES = EngineFigures(
@@ -35,48 +35,50 @@
 
 
 def server(number: int, centres: int = CENTRES) -> BackendServer:
-    """Return an engine; neighbours in the order lie in different data centres."""
+    """Return an engine; consecutive numbers are in different data centres."""
     centre = f"dc-{number % centres}"
     return BackendServer(f"e{number:03}", "m", Address("10.0.0.1", number + 1), centre, 5, False)
 
 
 class Outcome(NamedTuple):
-    """What a replay counted, as shares of all short requests."""
+    """Result of a replay, as shares of all short requests."""
 
     overfilled: float
-    """Those that met an engine whose slots were all taken."""
+    """Requests placed on an engine without a free slot."""
     far: float
-    """Those that another data centre answered."""
+    """Requests answered by another data centre."""
 
 
 class TestDivision:
-    """Where a data centre's engines are a fleet of their own."""
+    """Conditions for one pool per data centre."""
 
-    def test_many_engines_in_each(self):
+    def test_many_engines_in_each_data_centre(self):
         pools = divide(server(number) for number in range(195))
         assert sorted(pools) == [f"dc-{n}" for n in range(CENTRES)]
         assert sum(len(pool) for pool in pools.values()) == 195
 
-    def test_a_data_centre_that_loses_a_quarter_of_its_engines_stays_one(self):
-        """A quarter of the engines leave within a second, and a burst follows. Entries that choose
-        among all from then on hear of most of them late and fill the same ones."""
+    def test_data_centre_that_loses_a_quarter_of_its_engines_keeps_its_pool(self):
+        """A quarter of the engines leave within a second, followed by a burst. Entries that choose
+        among all engines from then on learn of most of the load late and overfill the same
+        engines."""
         assert divide(server(number) for number in range(195) if number % 20 >= 5)
 
-    def test_not_with_too_few_in_one_or_one_data_centre_only(self):
+    def test_no_pools_with_too_few_engines_or_a_single_data_centre(self):
         assert divide(server(number) for number in range(45)) == {}
         assert divide(server(number, 1) for number in range(100)) == {}
         uneven = [server(n, 1) for n in range(100)]
-        uneven += [server(n, 2) for n in range(1, 2 * LEAST_ENGINES - 2, 2)]
+        uneven += [server(n, 2) for n in range(1, 2 * MIN_POOL_ENGINES - 2, 2)]
         assert divide(uneven) == {}
 
     def test_lanes_of_a_data_centre_are_those_that_its_own_entries_see(self):
-        """An entry elsewhere reads a dossier in the lanes of all engines together; where these end
-        differently, it reads on engines that write short answers for their own data centre."""
+        """An entry in another data centre places a long prompt on the lanes of all engines. If
+        these differ from the lanes of each data centre, the prompt is prefilled on engines that
+        decode short answers for their own data centre."""
         views = [
             ServerView(server(n), Work(short_requests=4 if n % CENTRES == 0 else 0))
             for n in range(195)
         ]
-        lanes = split_by_centre(views, FIGURES)
+        lanes = split_lanes_by_centre(views, FIGURES)
         for centre in range(CENTRES):
             near = [view for view in views if view.server.data_centre == f"dc-{centre}"]
             seen_there = split_lanes(near, FIGURES)
@@ -85,20 +87,20 @@
 
 
 class TestBurst:
-    """A burst of short prompts at 68 entries before 195 engines."""
+    """A burst of short prompts at 68 entries with 195 engines."""
 
     ENTRIES = 68
     ENGINES = 195
     RATE_PER_S = 330.0
-    NEAR_NEWS_S = 0.07
-    FAR_NEWS_S = 0.3
+    NEAR_REPORT_DELAY_S = 0.07
+    FAR_REPORT_DELAY_S = 0.3
     SECONDS = 3.0
 
     def replay(self, *, is_near_first: bool) -> Outcome:
-        """Place a burst; entries hear of their own data centre soon, of others a sum later."""
+        """Place a burst; reports arrive soon in the own data centre and later in the others."""
         draw = random.Random(11)
         servers = [server(number) for number in range(self.ENGINES)]
-        scatter = Scatter(random.Random(3), self.NEAR_NEWS_S)
+        scatter = Scatter(random.Random(3), self.NEAR_REPORT_DELAY_S)
         placed: list[tuple[float, float, int, str]] = []
         asked = late = far = 0
         now_s = 0.0
@@ -107,8 +109,8 @@
             entry = draw.randrange(self.ENTRIES)
             placed = [row for row in placed if row[1] > now_s]
             running = Counter(row[3] for row in placed)
-            heard = Counter(row[3] for row in placed if self.has_heard(entry, row, now_s))
-            views = [ServerView(s, Work(short_requests=heard[s.server_id])) for s in servers]
+            reported = Counter(row[3] for row in placed if self.is_reported(entry, row, now_s))
+            views = [ServerView(s, Work(short_requests=reported[s.server_id])) for s in servers]
             centre = f"dc-{entry % CENTRES}"
             near = [view for view in views if view.server.data_centre == centre]
             plan = None
@@ -127,17 +129,17 @@
             placed.append((now_s, now_s + length_s, entry, plan.server.server_id))
         return Outcome(late / asked, far / asked)
 
-    def has_heard(self, entry: int, row: tuple[float, float, int, str], now_s: float) -> bool:
+    def is_reported(self, entry: int, row: tuple[float, float, int, str], now_s: float) -> bool:
         """Return whether an entry knows of a request that another placed."""
         begin_s, _, other, _ = row
         if entry == other:
             return True
         is_near = entry % CENTRES == other % CENTRES
-        return begin_s < now_s - (self.NEAR_NEWS_S if is_near else self.FAR_NEWS_S)
+        return begin_s < now_s - (self.NEAR_REPORT_DELAY_S if is_near else self.FAR_REPORT_DELAY_S)
 
-    def test_is_answered_near_by_and_meets_free_slots(self):
-        """Entries that choose among the engines of all data centres hear of most of them late, and
-        fill the same ones; four in five answers pass between data centres."""
+    def test_is_answered_in_the_own_data_centre_by_engines_with_free_slots(self):
+        """Entries that choose among the engines of all data centres learn of most of the load late
+        and overfill the same engines; four in five answers cross data centres."""
         everywhere = self.replay(is_near_first=False)
         near_first = self.replay(is_near_first=True)
         assert everywhere.far > 0.7
--- a/packages/proxy/tests/test_rate_shares.py
+++ b/packages/proxy/tests/test_rate_shares.py
@@ -1,4 +1,4 @@
-"""Shares of what a backend server takes from all entries together."""
+"""Shares of the entries in the rate limit of a backend server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sassafrastally.proxy.rate_shares import (
     LEAST_PER_S,
-    ReturnTimes,
+    RetrySchedule,
     SentRequests,
     own_share_per_s,
 )
@@ -20,7 +20,7 @@
 )
 
 STEP_S = 0.05
-"""Time between two looks of a greedy entry."""
+"""Interval at which a greedy entry tries to send."""
 
 
 def hosts_of(count: int) -> list[str]:
@@ -29,14 +29,14 @@
 
 
 class GreedyEntries:
-    """Entries that each have more work for one server than their share of its limit."""
+    """Entries that always have more requests for one server than their share of its limit."""
 
     def __init__(self, hosts: list[str], most_per_s: float, life_id: str = "engine-1") -> None:
         self.hosts = hosts
         self.most_per_s = most_per_s
         self.life_id = life_id
         self.known = {host: set(hosts) - {host} for host in hosts}
-        """Whom each entry takes for another one that may send."""
+        """Other entries that each entry knows as possible senders."""
         self.sent = {host: SentRequests() for host in hosts}
         self.sent_s: list[float] = []
 
@@ -59,20 +59,20 @@
 
 
 class TestShares:
-    """Parts of a server's limit."""
+    """Shares of a server's limit."""
 
     @pytest.mark.parametrize("most_per_s", [0.0, 0.3, 1.0, 2.5, 8.0, 50.0])
     @pytest.mark.parametrize("entries", [1, 2, 5, 27, 68, 340])
-    def test_greedy_entries_use_the_limit_and_keep_it(self, entries, most_per_s):
-        """Guards against a server getting more from all entries than it takes, or hardly any."""
+    def test_greedy_entries_use_the_limit_without_exceeding_it(self, entries, most_per_s):
+        """Guards against entries that together exceed a server's limit, or hardly use it."""
         greedy = GreedyEntries(hosts_of(entries), most_per_s)
         greedy.run(0.0, 30.0)
         assert most_in_window(greedy.sent_s, 0.0) <= allowed(most_per_s)
-        taken_per_s = max(LEAST_PER_S, most_per_s)
-        assert len(greedy.sent_s) >= 0.85 * taken_per_s * 30.0
+        accepted_per_s = max(LEAST_PER_S, most_per_s)
+        assert len(greedy.sent_s) >= 0.85 * accepted_per_s * 30.0
 
     def test_requests_before_the_limit_was_known_count(self):
-        """Guards against a busy server that names a limit and gets that much on top."""
+        """Guards against requests beyond those that a busy server has when it states a limit."""
         greedy = GreedyEntries(hosts_of(5), 1.0)
         for number in range(8):
             greedy.send(greedy.hosts[number % 5], -1.0 + number / 8)
@@ -80,8 +80,8 @@
         assert most_in_window(greedy.sent_s, SETTLED_S) <= allowed(1.0)
 
     @pytest.mark.parametrize("entries", [5, 27, 68])
-    def test_entry_that_others_do_not_know_yet_sends_little(self, entries):
-        """Guards against a limit being exceeded while a new entry is known to itself alone."""
+    def test_entry_unknown_to_the_others_sends_few_requests(self, entries):
+        """Guards against exceeding a limit while no other entry knows a new one yet."""
         hosts = hosts_of(entries)
         greedy = GreedyEntries(hosts, 1.0)
         for host in hosts[1:]:
@@ -89,8 +89,8 @@
         greedy.run(0.0, 12.0)
         assert most_in_window(greedy.sent_s, 0.0) <= allowed(1.0)
 
-    def test_limit_holds_while_entries_are_replaced_one_after_the_other(self):
-        """Guards against the shares of leaving entries being sent twice in a few seconds."""
+    def test_limit_holds_during_a_rolling_replacement_of_entries(self):
+        """Guards against using the share of a leaving entry twice within a few seconds."""
         greedy = GreedyEntries(hosts_of(27), 1.0)
         for turn in range(10):
             greedy.run(turn * 2.0, (turn + 1) * 2.0)
@@ -102,8 +102,8 @@
             assert gone not in greedy.hosts
         assert most_in_window(greedy.sent_s, 0.0) <= allowed(1.0)
 
-    def test_each_entry_has_servers_of_its_own(self):
-        """Guards against entries whose callers find no server while all servers have room."""
+    def test_each_entry_shares_the_limit_of_some_server(self):
+        """Guards against an entry without any share while all servers accept requests."""
         hosts = hosts_of(68)
         for host in hosts:
             others = set(hosts) - {host}
@@ -111,47 +111,47 @@
             assert sum(shares) > 0
 
     def test_burst_of_one_entry_is_spread(self):
-        """Guards against one entry sending its requests of some seconds at once."""
+        """Guards against one entry sending the requests of several seconds at once."""
         sent = SentRequests()
         for _ in range(10):
             sent.note(0.0)
         assert sent.room_in_s(10.0, 0.0) == pytest.approx(1.0)
 
 
-class TestReturnTimes:
-    """Moments that callers are told."""
+class TestRetrySchedule:
+    """Retry delays of rejected callers."""
 
-    def test_callers_come_back_one_after_the_other(self):
-        """Guards against all callers that were turned away coming back at the same moment."""
-        times = ReturnTimes()
-        told = [times.next_s("engines", 0.2, 4.0, 10.0, 0.0) for _ in range(4)]
-        assert told == pytest.approx([0.2, 0.45, 0.7, 0.95])
+    def test_retries_are_spaced(self):
+        """Guards against all rejected callers retrying at the same time."""
+        times = RetrySchedule()
+        delays_s = [times.next_retry_s("engines", 0.2, 4.0, 10.0, 0.0) for _ in range(4)]
+        assert delays_s == pytest.approx([0.2, 0.45, 0.7, 0.95])
 
-    def test_room_is_not_kept_for_callers_that_will_have_left(self):
-        """Guards against moments minutes away after a second of overload."""
-        times = ReturnTimes()
+    def test_no_time_is_reserved_for_callers_that_will_have_disconnected(self):
+        """Guards against retry delays of minutes after one second of overload."""
+        times = RetrySchedule()
         for _ in range(1000):
-            told_s = times.next_s("engines", 0.2, 4.0, 2.0, 0.0)
-        assert told_s < 2.5
+            delay_s = times.next_retry_s("engines", 0.2, 4.0, 2.0, 0.0)
+        assert delay_s < 2.5
 
-    def test_drawn_loads_meet_room_when_they_come_back(self):
-        """Guards against callers that come back in vain."""
+    def test_retries_of_a_random_load_are_accepted(self):
+        """Guards against retries that are rejected again."""
         draw = random.Random(5)
-        times, sent = ReturnTimes(), SentRequests()
+        times, sent = RetrySchedule(), SentRequests()
         share = own_share_per_s("engine-1", 4.0, "a", [])
-        due: list[float] = []
-        met = missed = 0
+        retry_at_s: list[float] = []
+        accepted = rejected = 0
         for step in range(2000):
             now_s = step * 0.01
-            while due and due[0] <= now_s:
-                due.pop(0)
+            while retry_at_s and retry_at_s[0] <= now_s:
+                retry_at_s.pop(0)
                 if sent.room_in_s(share, now_s) <= 0:
                     sent.note(now_s)
-                    met += 1
+                    accepted += 1
                 else:
-                    missed += 1
+                    rejected += 1
             if draw.random() < 0.1:
-                back_s = times.next_s("s", sent.room_in_s(share, now_s), 4.0, WINDOW_S, now_s)
+                back_s = times.next_retry_s("s", sent.room_in_s(share, now_s), 4.0, WINDOW_S, now_s)
                 if back_s < WINDOW_S:
-                    due = sorted([*due, now_s + back_s + 0.001])
-        assert met > 0.9 * (met + missed)
+                    retry_at_s = sorted([*retry_at_s, now_s + back_s + 0.001])
+        assert accepted > 0.9 * (accepted + rejected)
--- a/packages/proxy/tests/test_server_limits.py
+++ b/packages/proxy/tests/test_server_limits.py
@@ -1,4 +1,4 @@
-"""Which word of a backend server about its limit is believed."""
+"""Which of several reported limits of a backend server is in effect."""
 
 from __future__ import annotations
 
@@ -9,65 +9,65 @@
 SERVER = 7
 
 
-class TestWords:
-    """What a server says itself."""
+class TestAnswers:
+    """Limits in the answers of a server."""
 
-    def test_latest_word_holds(self):
-        """Guards against a server that is spared after it has recovered."""
+    def test_latest_limit_is_in_effect(self):
+        """Guards against a limit that stays in effect after its server has recovered."""
         limits = ServerLimits()
-        assert limits.hear(SERVER, 2.0, 1.0) is LimitChange.NEWS
+        assert limits.note_answer_limit(SERVER, 2.0, 1.0) is LimitChange.NEWS
         assert limits.of(SERVER) == 2.0
-        assert limits.hear(SERVER, None, 2.0) is LimitChange.NEWS
+        assert limits.note_answer_limit(SERVER, None, 2.0) is LimitChange.NEWS
         assert limits.of(SERVER) is None
 
-    def test_server_without_a_limit_is_not_noted(self):
+    def test_server_without_a_limit_is_not_recorded(self):
         limits = ServerLimits()
-        assert limits.hear(SERVER, None, 1.0) is LimitChange.NOTHING
+        assert limits.note_answer_limit(SERVER, None, 1.0) is LimitChange.NOTHING
         assert not limits
 
     @pytest.mark.parametrize(
-        ("told", "change"),
+        ("new_limit_per_s", "change"),
         [(2.0, LimitChange.NOTHING), (2.3, LimitChange.SMALL), (1.5, LimitChange.NEWS)],
     )
-    def test_small_changes_are_no_news(self, told, change):
-        """Guards against datagrams and log lines for each answer of a server."""
+    def test_small_changes_are_not_significant(self, new_limit_per_s, change):
+        """Guards against a datagram and a log line for each answer of a server."""
         limits = ServerLimits()
-        limits.hear(SERVER, 2.0, 1.0)
-        assert limits.hear(SERVER, told, 2.0) is change
-        assert limits.of(SERVER) == told
+        limits.note_answer_limit(SERVER, 2.0, 1.0)
+        assert limits.note_answer_limit(SERVER, new_limit_per_s, 2.0) is change
+        assert limits.of(SERVER) == new_limit_per_s
 
 
-class TestHearsay:
-    """What peers tell."""
+class TestPeerReports:
+    """Limits reported by peers."""
 
-    def test_old_word_that_goes_round_does_not_come_back(self):
-        """Guards against two entries that keep a limit alive by telling each other of it."""
+    def test_outdated_limit_does_not_circulate(self):
+        """Guards against two entries that keep an ended limit by reporting it to each other."""
         first, second = ServerLimits(), ServerLimits()
-        first.hear(SERVER, 1.0, 0.0)
-        second.hear_from_peer(SERVER, first.news(0.0)[SERVER], 0.02)
-        first.hear(SERVER, None, 0.3)
+        first.note_answer_limit(SERVER, 1.0, 0.0)
+        second.note_peer_limit(SERVER, first.news(0.0)[SERVER], 0.02)
+        first.note_answer_limit(SERVER, None, 0.3)
         for turn in range(1, 400):
             now_s = 0.3 + turn * 0.1
-            way_s = 0.02
-            for teller, listener in ((first, second), (second, first)):
-                for key, news in teller.news(now_s).items():
-                    listener.hear_from_peer(key, news, now_s + way_s)
+            network_delay_s = 0.02
+            for sender, receiver in ((first, second), (second, first)):
+                for key, news in sender.news(now_s).items():
+                    receiver.note_peer_limit(key, news, now_s + network_delay_s)
         assert first.of(SERVER) is None
         assert second.of(SERVER) is None
 
-    def test_word_that_is_newer_holds_whoever_heard_it(self):
-        """Guards against an entry that keeps its own old word."""
+    def test_newer_limit_from_a_peer_replaces_the_own_one(self):
+        """Guards against an entry that keeps the outdated limit that it received itself."""
         first, second = ServerLimits(), ServerLimits()
-        first.hear(SERVER, 1.0, 0.0)
-        second.hear(SERVER, 4.0, 2.0)
-        first.hear_from_peer(SERVER, second.news(2.1)[SERVER], 2.1)
+        first.note_answer_limit(SERVER, 1.0, 0.0)
+        second.note_answer_limit(SERVER, 4.0, 2.0)
+        first.note_peer_limit(SERVER, second.news(2.1)[SERVER], 2.1)
         assert first.of(SERVER) == 4.0
 
-    def test_older_word_that_was_under_way_does_not_replace_a_newer_one(self):
-        """Guards against an age that lacks the time of the way."""
+    def test_older_limit_in_flight_does_not_replace_a_newer_one(self):
+        """Guards against a reported age that doesn't include the network delay."""
         first, second = ServerLimits(), ServerLimits()
-        first.hear(SERVER, 1.0, 0.0)
-        second.hear(SERVER, 1.0, 0.0)
-        second.hear(SERVER, None, 0.01)
-        second.hear_from_peer(SERVER, first.news(0.0)[SERVER], 0.02)
+        first.note_answer_limit(SERVER, 1.0, 0.0)
+        second.note_answer_limit(SERVER, 1.0, 0.0)
+        second.note_answer_limit(SERVER, None, 0.01)
+        second.note_peer_limit(SERVER, first.news(0.0)[SERVER], 0.02)
         assert second.of(SERVER) is None
