--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -1,9 +1,9 @@
-"""Engines divided into those that answer short prompts and those that read long ones.
+"""Split of the engines into one lane for short prompts and one for long prompts.
 
-The load that it answers: short prompts, whose callers notice a pause of a quarter of a second,
-beside prompts that take an engine seconds to read, in a mix that swings by a factor of ten within
-seconds. An engine that reads a long prompt holds up all that it writes, so short requests and long
-ones are kept on different engines.
+Callers of short prompts notice a pause of a quarter of a second, while a long prompt takes an
+engine seconds to prefill, and the mix of both changes by a factor of ten within seconds. An engine
+that prefills a long prompt delays everything that it decodes, so short and long requests are placed
+on different engines.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, reading_ms
 from sassafrastally.proxy.load import Lane, Work
 
 if TYPE_CHECKING:
@@ -21,55 +21,56 @@
     from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize, Route
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
-SHORT_REQUEST_S = 1.5
-"""Usual time that a short request keeps its slot; from it and the requests in progress follows how
-many begin in a moment."""
+SHORT_REQUEST_DURATION_S = 1.5
+"""Typical time that a short request occupies its slot. Together with the number of requests in
+progress it gives the rate at which requests start."""
 
 SHORT_FILL = 0.75
-"""Share of an engine's slots that the short lane is sized for; the rest is room for what other
-entries place at the same moment."""
+"""Share of the slots that the short lane is sized for. The rest is a reserve for requests that
+other entries place at the same time."""
 
 LONG_LANE_SHARE = 0.12
-"""Least share of the engines in the long lane, so that the first long prompt after a quiet time
-finds engines without short requests."""
+"""Smallest share of the engines in the long lane, so that the first long prompt after a period
+without any finds engines without short requests."""
 
 
 class ServerView(NamedTuple):
-    """What is known of one engine when a prompt is placed."""
+    """Known state of one engine when a prompt is placed."""
 
     server: BackendServer
     work: Work
     is_suspect: bool = False
-    """Recent answers speak against it; it is used only when no other is left."""
+    """Whether recent answers indicate a fault; it is used only when no other engine is left."""
     pace: float = 1.0
-    """How many times slower than its figures it works."""
+    """Factor by which it is slower than its published figures."""
     is_limited: bool = False
-    """It takes few requests, so it reads parts of prompts that others answer only in need."""
+    """Whether it limits its request rate. It then prefills parts of prompts that other engines
+    answer only if the prompt can't be answered in time without it."""
 
 
 class Lanes(NamedTuple):
-    """Engines by lane, in the order that all entries share."""
+    """Engines by lane, in the order that all entries use."""
 
     long: tuple[ServerView, ...]
     short: tuple[ServerView, ...]
 
 
 class Scatter(NamedTuple):
-    """How entries that can't see each other's latest choices keep out of each other's way.
+    """Randomization against herding of entries that don't know each other's latest placements.
 
-    The load that it answers: many entries place requests faster than they hear of each other's. If
-    each took the best engine by the same rule, all would take the same one until they hear of it,
-    and fill it far beyond its slots while its neighbours idle. So each draws among as many equally
-    good engines as there are requests under way that it hasn't heard of.
+    Many entries place requests faster than they learn of each other's placements. If each took the
+    best engine by the same rule, all would pick the same engine and overfill its slots while others
+    are idle. Each entry therefore draws among equally good engines, in proportion to the estimated
+    number of requests that it doesn't know of yet.
     """
 
     random: Random
     news_age_s: float = 0.0
-    """How old the latest news of other entries is."""
+    """Age of the latest load report of other entries."""
 
-    def unheard(self, short_requests: int) -> float:
-        """Return how many short requests others have begun since their latest news."""
-        return short_requests * self.news_age_s / SHORT_REQUEST_S
+    def unseen_requests(self, short_requests: int) -> float:
+        """Return the estimated short requests that others have started since their last reports."""
+        return short_requests * self.news_age_s / SHORT_REQUEST_DURATION_S
 
 
 def lane_of(
@@ -78,14 +79,14 @@
     """Return the lane of a request."""
     if limits.is_tolerant(route.pause_goal_s):
         return Lane.LONG
-    too_long_ms = limits.short_part_ms * (MOST_HELPERS + 1)
+    too_long_ms = limits.short_part_ms * (MAX_HELPERS + 1)
     return Lane.LONG if reading_ms(figures, prompt.prompt_tokens) > too_long_ms else Lane.SHORT
 
 
-def split_by_centre(
+def split_lanes_by_centre(
     views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
 ) -> Lanes:
-    """Divide the engines of each data centre by itself, as its own entries do.
+    """Split the engines of each data centre separately, as its own entries do.
 
     Parameters
     ----------
@@ -95,7 +96,7 @@
     centres: dict[str, list[ServerView]] = {}
     for view in views:
         centres.setdefault(view.server.data_centre, []).append(view)
-    split = [split_lanes(of_one, figures, scatter) for of_one in centres.values()]
+    split = [split_lanes(centre_views, figures, scatter) for centre_views in centres.values()]
     return Lanes(
         tuple(view for lanes in split for view in lanes.long),
         tuple(view for lanes in split for view in lanes.short),
@@ -105,28 +106,28 @@
 def split_lanes(
     views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
 ) -> Lanes:
-    """Divide the engines by the short requests in progress.
+    """Split the engines into lanes by the number of short requests in progress.
 
-    The short lane gets what its requests need, the long lane all the rest: long prompts gain from
-    each engine, short ones gain nothing beyond room. Entries that see the same load divide alike,
-    because the order is fixed by the servers' ids.
+    The short lane gets as many engines as its requests need and the long lane gets the rest: each
+    further engine speeds up long prompts, while short prompts need only free slots. Entries that
+    see the same load compute the same split, because the order is fixed by the server ids.
 
     Parameters
     ----------
     views
-        Engines that may get work, in the shared order.
+        Engines that can take work, in the order that all entries use.
     figures
-        Figures of the engines.
+        Performance figures of the engines.
     scatter
-        Tells how many requests others may have placed since.
+        Estimates the requests that other entries have placed since their latest reports.
     """
     count = len(views)
     if count < 2:
         return Lanes(tuple(views), tuple(views))
     short_requests: float = sum(view.work.short_requests for view in views)
     if scatter is not None:
-        short_requests += scatter.unheard(int(short_requests))
-    wanted = math.ceil(short_requests / (SHORT_FILL * figures.slots)) + 1
-    least_long = max(1, math.ceil(LONG_LANE_SHARE * count))
-    short = max(1, min(wanted, count - least_long))
+        short_requests += scatter.unseen_requests(int(short_requests))
+    needed_engines = math.ceil(short_requests / (SHORT_FILL * figures.slots)) + 1
+    min_long = max(1, math.ceil(LONG_LANE_SHARE * count))
+    short = max(1, min(needed_engines, count - min_long))
     return Lanes(tuple(views[: count - short]), tuple(views[count - short :]))
--- a/packages/proxy/src/sassafrastally/proxy/long_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/long_placement.py
@@ -1,8 +1,8 @@
-"""Which engines read and answer a long prompt.
+"""Placement of long prompts: which engines prefill and answer them.
 
-The load that it answers: prompts that take one engine seconds to read, several at a time, beside
-short ones. They are read in parts by many engines at once; more engines read sooner and hold up
-more of what others write, and the cheapest plan is taken.
+Long prompts take one engine seconds to prefill, and several arrive at a time, next to short ones.
+Many engines prefill parts of one prompt in parallel. More engines finish the prefill sooner but
+delay more of the requests that they decode; the plan with the lowest cost is chosen.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from heapq import nsmallest
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MOST_HELPERS, pass_ms, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms, reading_ms
 from sassafrastally.proxy.load import Lane
 from sassafrastally.proxy.plan import (
     SAFE_GOAL_SHARE,
@@ -28,21 +28,21 @@
     from sassafrastally.proxy.model import EngineFigures, PromptSize
     from sassafrastally.proxy.reading_limits import ReadingLimits
 
-LONG_VALUE_PER_K = 0.1
-"""What a late long request counts for, in late short ones for each 1,000 tokens: a caller with a
-dossier of 180,000 tokens waits on as much work as some twenty with a short note."""
+LONG_VALUE_PER_1000_TOKENS = 0.1
+"""Cost of a late long request for each 1,000 tokens, in late short requests: a prompt of 180,000
+tokens is as much work as about twenty short ones."""
 
 DELAY_COST = 0.05
-"""Part of a request's value lost by a first event at its goal rather than at once: among plans that
-harm nobody the fastest is taken."""
+"""Share of a request's value that is lost if its first event comes at its goal rather than at once.
+Among plans that delay no other request, it selects the fastest."""
 
-OPENING_COST = 0.5
-"""What it costs to let an engine write for its first long request. Engines that only read harm
-nobody, so long requests are answered by few engines and read by the others."""
+FIRST_LONG_DECODE_COST = 0.5
+"""Cost of starting to decode a long request on an engine that has none. Engines that only prefill
+delay no decoding, so few engines answer long requests and the others only prefill."""
 
-CONSIDERED = 3 * (MOST_HELPERS + 1)
-"""Engines among which a long prompt's are chosen: three times what it may take. A choice among some
-hundred would hold up all else that the process does."""
+MAX_CONSIDERED_ENGINES = 3 * (MAX_HELPERS + 1)
+"""Most engines considered for a long prompt: three times as many as it can use. A search over a
+hundred or more would block the process for too long."""
 
 
 def place_long(
@@ -53,89 +53,94 @@
     limits: ReadingLimits,
     scatter: Scatter,
 ) -> Placement | None:
-    """Return the cheapest plan to read a long prompt, over all sizes of the group that reads it.
+    """Return the plan with the lowest cost for a long prompt, over all group sizes.
 
-    More engines read it sooner but hold up more of what others write. Both are counted in the same
-    unit, short requests that become late.
+    More engines prefill the prompt sooner but delay more requests that are being decoded. Both
+    costs have the same unit: short requests that become late.
     """
     own_ms = reading_ms(figures, prompt.prompt_tokens)
     in_long_lane = {view.server.life_id for view in lanes.long}
     candidates = [
-        _candidate(view, view.server.life_id not in in_long_lane, figures)
+        _make_candidate(view, view.server.life_id not in in_long_lane, figures)
         for view in dict.fromkeys([*lanes.long, *lanes.short])
         if view.work.reading_requests < figures.slots
     ]
-    # Engines that are equally good are taken in an order of this entry's own: two entries that
-    # place at the same moment would otherwise read two dossiers on the same engines.
+    # Equally good engines are taken in a random order: otherwise two entries that place long
+    # prompts at the same time would choose the same engines.
     scatter.random.shuffle(candidates)
     needed = prompt.prompt_tokens + prompt.output_tokens
-    usual_part_ms = own_ms / min(MOST_HELPERS + 1, max(1, len(candidates)))
-    considered = _least_harmed(candidates, CONSIDERED, usual_part_ms, limits)
-    if not _has_leader(considered, needed, figures) and _has_leader(candidates, needed, figures):
+    usual_part_ms = own_ms / min(MAX_HELPERS + 1, max(1, len(candidates)))
+    considered = _least_delayed(candidates, MAX_CONSIDERED_ENGINES, usual_part_ms, limits)
+    if not _any_can_answer_alone(considered, needed, figures) and _any_can_answer_alone(
+        candidates, needed, figures
+    ):
         considered = candidates
-    # Engines with much to read already are harmed least by more, and would be taken first; the
-    # prompt must also be weighed against those that can begin soon.
-    soon = [
+    # A further part adds least lateness on engines with a long prefill backlog, so these rank
+    # first. The engines that can start soon are therefore tried as a separate choice.
+    ready_soon = [
         candidate for candidate in considered if candidate.view.work.reading_ms < goal_s * 1000 / 3
     ]
-    choices = (considered, soon) if len(soon) < len(considered) else (considered,)
-    most_parts = min(MOST_HELPERS + 1, len(considered), max(1, int(own_ms / limits.least_part_ms)))
+    choices = (considered, ready_soon) if len(ready_soon) < len(considered) else (considered,)
+    max_parts = min(MAX_HELPERS + 1, len(considered), max(1, int(own_ms / limits.least_part_ms)))
     best: Placement | None = None
     best_cost = math.inf
-    for size in range(1, most_parts + 1):
+    for size in range(1, max_parts + 1):
         for group in choices:
             plan = _plan_group(group, size, own_ms / size, needed, figures, limits)
             if plan is None:
                 continue
-            cost = _late_cost(prompt, plan.placement.predicted_s / goal_s) + plan.harm
+            cost = _late_cost(prompt, plan.placement.predicted_s / goal_s) + plan.added_lateness
             if cost < best_cost:
                 best, best_cost = plan.placement, cost
     return best
 
 
 class _Candidate(NamedTuple):
-    """An engine with what doesn't depend on the part that it would read."""
+    """An engine with the values that don't depend on the size of its part."""
 
     view: ServerView
-    before_ms: float
-    """Pause that its writers have without the part."""
-    written: float
-    """What the long requests that it writes count for, in short ones."""
+    pause_before_ms: float
+    """Pause of the requests that it decodes, without the part."""
+    decoding_weight: float
+    """Weight of the long requests that it decodes, in short requests."""
     is_short_lane: bool
 
 
 class _GroupPlan(NamedTuple):
     placement: Placement
-    harm: float
-    """Requests that become late by it, counted in short ones."""
+    added_lateness: float
+    """Expected number of requests that it makes late, in short requests."""
 
 
-def _candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
+def _make_candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
     work = view.work
-    before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
-    # Only long requests that are being written have pauses; counted with those that are still read,
-    # engines that lead a dossier seemed so dear that the next one was read by two or three alone.
-    written = LONG_VALUE_PER_K * work.writing_tokens / 1000
-    return _Candidate(view, before_ms, written, is_short_lane)
+    pause_before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
+    # Only long requests that are being decoded have pauses. If those in prefill counted too, the
+    # engines that answer long prompts would look so expensive that two or three engines would
+    # prefill the next prompt alone.
+    decoding_weight = LONG_VALUE_PER_1000_TOKENS * work.writing_tokens / 1000
+    return _Candidate(view, pause_before_ms, decoding_weight, is_short_lane)
 
 
-def _can_lead(view: ServerView, needed: int, figures: EngineFigures) -> bool:
-    """Return whether an engine has a slot and the memory to answer a prompt alone."""
+def _can_answer_alone(view: ServerView, needed: int, figures: EngineFigures) -> bool:
+    """Return whether an engine has a free slot and enough memory to answer a prompt alone."""
     return view.work.requests < figures.slots and free_tokens(view, figures) >= needed
 
 
-def _has_leader(candidates: Sequence[_Candidate], needed: int, figures: EngineFigures) -> bool:
-    return any(_can_lead(candidate.view, needed, figures) for candidate in candidates)
+def _any_can_answer_alone(
+    candidates: Sequence[_Candidate], needed: int, figures: EngineFigures
+) -> bool:
+    return any(_can_answer_alone(candidate.view, needed, figures) for candidate in candidates)
 
 
-def _least_harmed(
+def _least_delayed(
     candidates: Sequence[_Candidate], count: int, part_ms: float, limits: ReadingLimits
 ) -> list[_Candidate]:
-    """Return the engines that a part harms least, those with least to read first among equals."""
+    """Return the engines with the least added lateness, then with the least prefill backlog."""
     return nsmallest(
         count,
         candidates,
-        key=lambda one: (_harm(one, part_ms, limits), one.view.work.reading_ms),
+        key=lambda one: (_added_lateness(one, part_ms, limits), one.view.work.reading_ms),
     )
 
 
@@ -147,25 +152,34 @@
     figures: EngineFigures,
     limits: ReadingLimits,
 ) -> _GroupPlan | None:
-    """Return the plan with the least harm for a group of that size."""
+    """Return the plan that adds the least lateness for a group of that size."""
     ranked = sorted(
-        ((_harm(one, part_ms, limits), one.view.work.reading_ms, one.view) for one in candidates),
+        (
+            (_added_lateness(one, part_ms, limits), one.view.work.reading_ms, one.view)
+            for one in candidates
+        ),
         key=lambda row: row[:2],
     )
-    harms = {view.server.life_id: harm for harm, _, view in ranked}
-    leaders = [
-        (harm + (0.0 if view.work.long_requests else OPENING_COST), reading, place)
-        for place, (harm, reading, view) in enumerate(ranked)
-        if _can_lead(view, needed, figures)
+    lateness_by_life_id = {
+        view.server.life_id: added_lateness for added_lateness, _, view in ranked
+    }
+    primaries = [
+        (
+            added_lateness + (0.0 if view.work.long_requests else FIRST_LONG_DECODE_COST),
+            backlog_ms,
+            index,
+        )
+        for index, (added_lateness, backlog_ms, view) in enumerate(ranked)
+        if _can_answer_alone(view, needed, figures)
     ]
     helpers = [view for _, _, view in ranked if not view.is_limited]
-    if leaders:
-        leader = ranked[min(leaders)[2]][2]
-        holdings: tuple[Holding, ...] = (Holding(leader.server, needed),)
-        group = [leader, *[view for view in helpers if view is not leader][: size - 1]]
+    if primaries:
+        primary = ranked[min(primaries)[2]][2]
+        holdings: tuple[Holding, ...] = (Holding(primary.server, needed),)
+        group = [primary, *[view for view in helpers if view is not primary][: size - 1]]
     else:
         views = helpers
-        shared = _holdings(views[: MOST_HELPERS + 1], needed, figures)
+        shared = _holdings(views[: MAX_HELPERS + 1], needed, figures)
         if shared is None:
             return None
         holdings = shared
@@ -174,38 +188,41 @@
         group += [view for view in views if view not in group][: max(0, size - len(group))]
     part_ms = part_ms * size / len(group)
     placement = make_placement(group, holdings, Lane.LONG, part_ms, figures)
-    return _GroupPlan(placement, sum(harms[view.server.life_id] for view in group))
+    return _GroupPlan(placement, sum(lateness_by_life_id[view.server.life_id] for view in group))
 
 
 def _late_cost(prompt: PromptSize, share_of_goal: float) -> float:
-    """Return what a first event at that share of its goal costs."""
-    value = max(1.0, LONG_VALUE_PER_K * prompt.prompt_tokens / 1000)
+    """Return the cost of a first event at that share of its goal."""
+    value = max(1.0, LONG_VALUE_PER_1000_TOKENS * prompt.prompt_tokens / 1000)
     late = min(1.0, max(0.0, share_of_goal - SAFE_GOAL_SHARE) / (1.2 - SAFE_GOAL_SHARE))
     return value * (late + DELAY_COST * share_of_goal)
 
 
-def _harm(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
-    """Return how many requests there become late by a part, counted in short ones."""
+def _added_lateness(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
+    """Return the expected requests on an engine that a part makes late, in short requests."""
     work = candidate.view.work
-    harm = 0.0
+    added_lateness = 0.0
     if candidate.is_short_lane:
-        # A part as long as a pause in the short lane makes one future request late.
-        harm = part_ms / limits.strict_pause_ms
-    if not work.short_requests and not candidate.written:
-        return harm
-    before_ms = candidate.before_ms
-    after_ms = before_ms + part_ms * candidate.view.pace
+        # A part as long as the strictest pause is assumed to make one future request late.
+        added_lateness = part_ms / limits.strict_pause_ms
+    if not work.short_requests and not candidate.decoding_weight:
+        return added_lateness
+    pause_before_ms = candidate.pause_before_ms
+    pause_after_ms = pause_before_ms + part_ms * candidate.view.pace
     for requests, limits_ms in (
         (work.short_requests, limits.short_pauses_ms),
-        (candidate.written, limits.long_pauses_ms),
+        (candidate.decoding_weight, limits.long_pauses_ms),
     ):
         if requests:
-            harm += requests * (_lateness(after_ms, limits_ms) - _lateness(before_ms, limits_ms))
-    return harm
+            added_lateness += requests * (
+                _late_probability(pause_after_ms, limits_ms)
+                - _late_probability(pause_before_ms, limits_ms)
+            )
+    return added_lateness
 
 
-def _lateness(pause_ms: float, limits_ms: tuple[float, float]) -> float:
-    """Return how likely a pause is too long, rising between two limits."""
+def _late_probability(pause_ms: float, limits_ms: tuple[float, float]) -> float:
+    """Return the probability that a pause is too long; it rises linearly between two limits."""
     low_ms, high_ms = limits_ms
     return min(1.0, max(0.0, (pause_ms - low_ms) / (high_ms - low_ms)))
 
@@ -213,28 +230,28 @@
 def _holdings(
     group: Sequence[ServerView], needed: int, figures: EngineFigures
 ) -> tuple[Holding, ...] | None:
-    """Return where a prompt's memory lies; ``None`` when the group hasn't enough.
+    """Return how a prompt's memory is divided; ``None`` when the group doesn't have enough.
 
-    One engine holds it if one can. Otherwise the one with most room answers, and the others hold
-    as much as they can, those with most room first.
+    A single engine holds it if possible. Otherwise the engine with the most free memory answers,
+    and the others hold as much as they can, in the order of their free memory.
     """
-    roomy = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
-    leaders = [
+    by_free_memory = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
+    primaries = [
         view
-        for view in roomy
+        for view in by_free_memory
         if view.work.requests < figures.slots and free_tokens(view, figures) > 0
     ]
-    fitting = [view for view in leaders if free_tokens(view, figures) >= needed]
+    fitting = [view for view in primaries if free_tokens(view, figures) >= needed]
     if fitting:
-        leader = min(fitting, key=lambda view: (view.work.requests, view.work.tokens))
-        return (Holding(leader.server, needed),)
-    if not leaders:
+        primary = min(fitting, key=lambda view: (view.work.requests, view.work.tokens))
+        return (Holding(primary.server, needed),)
+    if not primaries:
         return None
-    leader = leaders[0]
-    left = needed - free_tokens(leader, figures)
-    holdings = [Holding(leader.server, free_tokens(leader, figures))]
-    for view in roomy:
-        if view is not leader and left > 0:
+    primary = primaries[0]
+    left = needed - free_tokens(primary, figures)
+    holdings = [Holding(primary.server, free_tokens(primary, figures))]
+    for view in by_free_memory:
+        if view is not primary and left > 0:
             tokens = min(left, free_tokens(view, figures))
             if tokens > 0:
                 holdings.append(Holding(view.server, tokens))
