--- a/packages/proxy/benchmarks/quarantine.py
+++ b/packages/proxy/benchmarks/quarantine.py
@@ -1,4 +1,4 @@
-"""Processor time and memory that the quarantine takes: on calm days, and at its bounds.
+"""CPU time and memory of the quarantine, without crashes and at its limits.
 
 Run: ``python packages/proxy/benchmarks/quarantine.py``
 """
@@ -17,7 +17,7 @@
 
 
 def full() -> Quarantine:
-    """Return what a caller leaves behind who invents bodies, most of which crash servers."""
+    """Return a quarantine at its limits, after thousands of bodies with crashes and answers."""
     known, draw = Quarantine(), random.Random(1)
     for number in range(4000):
         fingerprint = draw.getrandbits(64)
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the results."""
     for name, size in BODIES.items():
         body = b"x" * size
         taken_us = median_us(
--- a/packages/proxy/src/sassafrastally/proxy/announcing.py
+++ b/packages/proxy/src/sassafrastally/proxy/announcing.py
@@ -1,4 +1,4 @@
-"""An entry's address in the store, by which those that start find the others."""
+"""Registers an entry's address in the store, so that starting entries can discover their peers."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from sassafrastally.proxy.settings import ProxySettings
     from sassafrastally.proxy.store import Store
 
-ANNOUNCED_S = 60.0
-"""Lease of an entry's address in the store. It only serves those that start; liveness shows by
-datagrams, so it need not be short."""
+ADDRESS_LEASE_S = 60.0
+"""Lease of an entry's address in the store. The address only serves discovery at start; liveness is
+determined by datagrams, so the lease can be long."""
 
 
-class Announcing:
-    """Keeps an entry's address in the store, and takes those of the others from there.
+class AddressRegistration:
+    """Keeps an entry's address in the store and reads those of the others.
 
     Parameters
     ----------
@@ -38,9 +38,9 @@
     prefix
         Prefix of the entries' keys.
     beliefs
-        What is known of the store, for the log.
+        Local view of the store, for the log.
     table
-        Where the addresses go.
+        Receives the addresses.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
         self._key = prefix + settings.host
         self._beliefs = beliefs
         self._table = table
-        self._has_read = trio.Event()
+        self._snapshot_read = trio.Event()
         self._lease_id = 0
 
     def note_entries(self, entries: Iterable[KvEntry | KvEvent]) -> None:
-        """Take addresses from what was read of the store."""
+        """Add the addresses found in store entries to the peer table."""
         now_s = self._kernel.clock.now_s()
         for entry in entries:
             if entry.key.startswith(self._prefix) and entry.value is not None:
@@ -71,24 +71,24 @@
                 self._table.know(host, entry.value.decode(errors="replace"), now_s)
 
     def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Take everything that stands in the store, this entry's own address too.
+        """Read the addresses from a full snapshot, this entry's own included.
 
-        A process that starts again within a minute finds the one that it wrote before, and renews
-        its lease: one call at the price of a read, where a new lease and a write are two.
+        A process that restarts within a minute finds its earlier address and renews that lease.
+        This takes one call that costs as much as a read, instead of a new lease and a write.
         """
         self.note_entries(entries)
         for entry in entries:
-            if entry.key == self._key and not self._has_read.is_set():
+            if entry.key == self._key and not self._snapshot_read.is_set():
                 self._lease_id = entry.lease_id
-        self._has_read.set()
+        self._snapshot_read.set()
 
     async def run(self) -> None:
-        """Keep the address in the store, until cancelled.
+        """Keep the address in the store until cancelled.
 
-        Of two entries that start together and both read before either wrote, each finds the other
-        by the watch, which they begin only after their reading.
+        If two entries start together and both read before either has written, they discover each
+        other through the watch, which starts after the read.
         """
-        await self._has_read.wait()
+        await self._snapshot_read.wait()
         pause_s = 0.1
         while True:
             try:
@@ -96,16 +96,16 @@
                     self._lease_id = await self._write_address()
                 else:
                     await self._store.keep_lease(self._lease_id)
-                pause_s = ANNOUNCED_S / 3
+                pause_s = ADDRESS_LEASE_S / 3
             except (LeaseLost, KvConflict):
                 self._lease_id, pause_s = 0, 0.1
             except (KvUnavailable, MaybeApplied) as cause:
                 self._note_store_lost(cause)
-                pause_s = min(ANNOUNCED_S / 6, 2 * pause_s)
+                pause_s = min(ADDRESS_LEASE_S / 6, 2 * pause_s)
             await trio.sleep(pause_s * self._kernel.random.uniform(0.7, 1.0))
 
     async def _write_address(self) -> int:
-        lease_id = await self._store.grant_lease(ANNOUNCED_S)
+        lease_id = await self._store.grant_lease(ADDRESS_LEASE_S)
         any_revision = -1
         value = self._settings.data_centre.encode()
         await self._store.write([KvWrite(self._key, value, any_revision, lease_id)])
--- a/packages/proxy/src/sassafrastally/proxy/catching_up.py
+++ b/packages/proxy/src/sassafrastally/proxy/catching_up.py
@@ -1,11 +1,10 @@
-"""Changes of configuration and backend servers, fetched from peers.
-
-The load that it answers: configurations of half a megabyte that follow each other within a tenth of
-a second, at entries whose links carry a megabyte a second. An entry that asked each peer with news
-would get the same changes from twenty of them at once, none within its time limit, and ask again,
-so that versions come into force seconds late. So one call is under way at a time, to a peer in the
-same data centre if one has the news, and versions that follow each other quickly are fetched
-together.
+"""Fetches changes of configuration and backend servers from peers.
+
+Configuration versions of half a megabyte may follow each other within a tenth of a second, while an
+entry's link carries a megabyte per second. If an entry called every peer with a newer revision, it
+would receive the same changes from twenty of them at once, none within the time limit, and retry;
+versions would come into force seconds late. So one call is in flight at a time, to a peer in the
+same data centre if one has the changes, and versions in quick succession are fetched together.
 """
 
 from __future__ import annotations
@@ -26,26 +25,27 @@
     from sassafrastally.proxy.beliefs import Beliefs
     from sassafrastally.proxy.calls import CallClient
 
-CALL_TIME_S = 0.5
-"""Longest silence of a peer, which answers from memory. Bytes that go on coming extend it."""
+CALL_TIMEOUT_S = 0.5
+"""Idle timeout of a call; peers answer from memory. Each received chunk restarts it."""
 
-FAILED_PAUSE_S = 0.3
-"""How long a peer whose answer didn't come is left out, if another one has the news."""
+FAILED_PEER_PAUSE_S = 0.3
+"""How long a peer whose call failed is avoided if another one has the changes."""
 
-TOGETHER_S = 0.15
-"""Pause after a new configuration before the next changes are fetched. Decoding a large one takes a
-small VM some 30 ms; versions that come more quickly than this are decoded once for all. Operators
+CONFIGURATION_PAUSE_S = 0.15
+"""Pause after a new configuration before the next changes are fetched. Decoding a large one takes
+about 30 ms on a small VM; of several versions within this time, only the last is decoded. Operators
 allow two seconds until a version is in force."""
 
-NEAR_FIRST_S = 0.25
-"""How long an entry whose data centre has others to fetch news from afar waits for them to do it:
-then it comes from one of these, and passes between data centres twice instead of fourteen times."""
+RELAYS_FIRST_S = 0.25
+"""How long an entry that isn't a relay waits for its data centre's relays to fetch changes from
+another data centre. It then fetches them locally, and they cross between data centres twice instead
+of fourteen times."""
 
 CHANGES_TARGET = "/changes?after={revision}"
 
 
 class Source(NamedTuple):
-    """A live peer with news."""
+    """A live peer that knows a newer revision."""
 
     host: str
     is_near: bool
@@ -57,26 +57,26 @@
 def choose_source(
     sources: Sequence[Source], failed_s: dict[str, float], now_s: float
 ) -> Source | None:
-    """Return the peer to ask; ``None`` when nobody has news.
+    """Return the peer to fetch from; ``None`` if no peer has a newer revision.
 
     Parameters
     ----------
     sources
         Live peers that know a newer revision.
     failed_s
-        When a peer last failed to answer, by host.
+        When the last call to a peer failed, by host.
     now_s
         Present time.
     """
 
     def rank(source: Source) -> tuple[bool, bool, int]:
-        has_failed = now_s - failed_s.get(source.host, float("-inf")) < FAILED_PAUSE_S
+        has_failed = now_s - failed_s.get(source.host, float("-inf")) < FAILED_PEER_PAUSE_S
         return has_failed, not source.is_near, -source.revision
 
     return min(sources, key=rank, default=None)
 
 
-class CatchingUp:
+class ChangeFetcher:
     """Fetches changes, one call at a time.
 
     Parameters
@@ -84,11 +84,11 @@
     kernel
         Clock, random source and log.
     beliefs
-        What the changes go to.
+        Receives the changes.
     sources
         Returns the live peers that know a newer revision.
-    waits_for_near
-        Returns whether others of this data centre fetch news from afar.
+    defers_to_relays
+        Returns whether other entries of this data centre fetch from other data centres.
     """
 
     def __init__(
@@ -96,27 +96,27 @@
         kernel: Kernel,
         beliefs: Beliefs,
         sources: Callable[[], Sequence[Source]],
-        waits_for_near: Callable[[], bool],
+        defers_to_relays: Callable[[], bool],
     ) -> None:
         self._kernel = kernel
         self._beliefs = beliefs
         self._sources = sources
-        self._waits_for_near = waits_for_near
+        self._defers_to_relays = defers_to_relays
         self._failed_s: dict[str, float] = {}
         self._news = trio.Event()
 
-    def note_news(self) -> None:
-        """Note that a peer knows a newer revision."""
+    def note_newer_revision(self) -> None:
+        """Signal that a peer knows a newer revision."""
         self._news.set()
 
     async def run(self) -> None:
-        """Fetch whenever there is news, until cancelled."""
+        """Fetch changes whenever signalled, until cancelled."""
         while True:
             await self._news.wait()
             self._news = trio.Event()
-            await self._catch_up()
+            await self._fetch_changes()
 
-    async def _catch_up(self) -> None:
+    async def _fetch_changes(self) -> None:
         has_waited = False
         while True:
             now_s = self._kernel.clock.now_s()
@@ -124,9 +124,9 @@
             if source is None:
                 self._failed_s.clear()
                 return
-            if not source.is_near and not has_waited and self._waits_for_near():
+            if not source.is_near and not has_waited and self._defers_to_relays():
                 has_waited = True
-                await trio.sleep(NEAR_FIRST_S)
+                await trio.sleep(RELAYS_FIRST_S)
                 continue
             await self._fetch(source)
 
@@ -134,16 +134,16 @@
         target = CHANGES_TARGET.format(revision=self._beliefs.revision)
         configuration = self._beliefs.configuration
         try:
-            status, body = await source.calls.exchange("GET", target, [], b"", CALL_TIME_S)
+            status, body = await source.calls.exchange("GET", target, [], b"", CALL_TIMEOUT_S)
             if status != 200:
-                raise AnswerLost(f"answered {status}")
+                raise AnswerLost(f"peer answered with status {status}")
             delta = decode_delta(body)
         except (AnswerLost, DocumentInvalid) as cause:
             self._failed_s[source.host] = self._kernel.clock.now_s()
             self._kernel.events.emit(
                 PeerFailed(source.host, self._beliefs.revision, source.revision, cause.detail)
             )
-            await trio.sleep(FAILED_PAUSE_S * self._kernel.random.uniform(0.1, 0.3))
+            await trio.sleep(FAILED_PEER_PAUSE_S * self._kernel.random.uniform(0.1, 0.3))
             return
         name = f"peer {source.host}"
         if delta.entries is not None:
@@ -151,4 +151,4 @@
         else:
             self._beliefs.apply(delta.events, delta.revision, name)
         if self._beliefs.configuration is not configuration:
-            await trio.sleep(TOGETHER_S)
+            await trio.sleep(CONFIGURATION_PAUSE_S)
--- a/packages/proxy/src/sassafrastally/proxy/crash_cases.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_cases.py
@@ -1,6 +1,7 @@
-"""Which servers crashed while they ran which requests, and which of these were answered.
+"""Records of server crashes by the requests that ran there, and of answers to these requests.
 
-What this entry has seen itself and what its peers tell; bounded, whatever callers send.
+Holds this entry's own observations and those of its peers. Its size is bounded, whatever callers
+send.
 """
 
 from __future__ import annotations
@@ -12,28 +13,29 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-REMEMBERED_S = 600.0
-"""How long a crash is held against a request. The same request comes back within seconds or
-minutes; what happens to one within a day by chance must not add up."""
+CRASH_KEPT_S = 600.0
+"""How long a crash counts against a request. A harmful request is retried within seconds or
+minutes; unrelated crashes over a day must not add up."""
 
-PRESUMED_S = 5.0
-"""How long a crash counts that isn't certain: by then the server's next life has been announced, if
-its process has ended."""
+PRESUMED_CRASH_KEPT_S = 5.0
+"""How long an uncertain crash counts. If the server's process has ended, its next incarnation has
+registered by then."""
 
-TOGETHER_S = 1.0
-"""Crashes within this time count as one for a request that has been answered before: servers of a
-rack are lost together, and a request that many callers ask for runs on most of them."""
+SAME_EVENT_S = 1.0
+"""Crashes within this time count as one for a request that has been answered before: the servers of
+a rack fail together, and a request that many callers send runs on most of them."""
 
-MOST_CASES = 512
-"""Requests whose crashes are kept; then those with the fewest crashes are forgotten, the oldest
-first."""
+MAX_CASES = 512
+"""Maximum number of requests whose crashes are kept; beyond it, those with the fewest crashes are
+evicted, the oldest first."""
 
-MOST_ANSWERED = 2048
-"""Requests with an answer that are remembered."""
+MAX_ANSWERED = 2048
+"""Maximum number of answered requests that are remembered."""
 
-MOST_CRASHES_TOLD = 16
-MOST_ANSWERS_TOLD = 8
-"""Items of each kind in one datagram, half of its bytes at most; loads need the rest."""
+MAX_CRASHES_SENT = 16
+MAX_ANSWERS_SENT = 8
+"""Maximum number of records of each kind in one datagram. Together they take at most half of its
+bytes; loads need the rest."""
 
 NEVER_S = float("-inf")
 
@@ -43,29 +45,30 @@
 
     at_s: float
     heard_s: float
-    """When this entry learned of it."""
+    """When this entry learned of the crash."""
     is_own: bool
-    """Whether this entry has seen it itself."""
+    """Whether this entry has observed it itself."""
     is_presumed: bool = False
-    """Whether the server's end isn't certain yet."""
+    """Whether it isn't certain yet that the server has crashed."""
 
     def counts(self, now_s: float) -> bool:
-        """Return whether it is held against the request."""
-        return now_s - self.at_s < (PRESUMED_S if self.is_presumed else REMEMBERED_S)
+        """Return whether it still counts against the request."""
+        return now_s - self.at_s < (PRESUMED_CRASH_KEPT_S if self.is_presumed else CRASH_KEPT_S)
 
 
 class CrashCases:
-    """Crashes by the fingerprints of the requests that ran there."""
+    """Crashes by the fingerprints of the requests that ran on the crashed servers."""
 
     def __init__(self) -> None:
         self.version = 0
-        """Grows with each crash and answer that is new."""
+        """Incremented with each new crash and answer."""
         self._crashes: dict[int, dict[int, Crash]] = {}
         self._own_answered_s: dict[int, float] = {}
-        """Latest answer of this entry, also to requests without crashes."""
+        """Latest answer received by this entry, by fingerprint, also for requests without
+        crashes."""
         self._answered_s: dict[int, float] = {}
-        """Latest answer by whomever to requests with crashes."""
-        self._news_s = NEVER_S
+        """Latest answer received by any entry to requests with crashes, by fingerprint."""
+        self._latest_news_s = NEVER_S
 
     def __contains__(self, fingerprint: int) -> bool:
         return fingerprint in self._crashes
@@ -78,8 +81,8 @@
         """Return whether a server crashed while it ran a request."""
         return server in self._crashes.get(fingerprint, ())
 
-    def beside(self, fingerprint: int) -> list[int]:
-        """Return the other requests that servers ran which crashed under one, latest first."""
+    def requests_beside(self, fingerprint: int) -> list[int]:
+        """Return the other requests on servers that crashed while running one, latest first."""
         servers = self._crashes.get(fingerprint, {}).keys()
         latest_s = {
             other: max(known[server].at_s for server in common)
@@ -89,7 +92,7 @@
         return sorted(latest_s, key=lambda other: -latest_s[other])
 
     def was_answered(self, fingerprint: int) -> bool:
-        """Return whether a request with crashes is known to have been answered, before or after."""
+        """Return whether a request with crashes was answered, before or after them."""
         return fingerprint in self._answered_s
 
     def count(
@@ -100,7 +103,7 @@
         *,
         is_certain: bool = False,
     ) -> int:
-        """Return how many crashes speak against a request.
+        """Return how many crashes count against a request.
 
         Parameters
         ----------
@@ -109,9 +112,9 @@
         now_s
             Present time.
         is_explained
-            Says of a server whether another request explains its crash.
+            Returns whether another request explains a server's crash.
         is_certain
-            Whether only certain crashes count.
+            Whether to count only certain crashes.
         """
         known = self._crashes.get(fingerprint)
         if not known:
@@ -125,12 +128,13 @@
             and not (is_certain and crash.is_presumed)
             and not is_explained(server)
         )
-        return _count_apart(times_s) if self.was_answered(fingerprint) else len(times_s)
+        return _count_separate(times_s) if self.was_answered(fingerprint) else len(times_s)
 
     def note_crash(self, fingerprint: int, server: int, crash: Crash) -> bool:
-        """Note that a server crashed while it ran a request; return whether that is new.
+        """Record that a server crashed while it ran a request; return whether this is new.
 
-        Two entries may tell of one crash: it counts once. That a presumed one is certain is new.
+        A crash reported by several entries counts once. The confirmation of a presumed crash is
+        new.
         """
         known = self._crashes.setdefault(fingerprint, {})
         if server in known and (crash.is_presumed or not known[server].is_presumed):
@@ -139,61 +143,63 @@
         known[server] = crash._replace(at_s=min(earlier_s, crash.at_s))
         self._note_news(crash.heard_s)
         own_answered_s = self._own_answered_s.get(fingerprint, NEVER_S)
-        if crash.heard_s - own_answered_s < REMEMBERED_S:
-            self.take_answer(fingerprint, own_answered_s, crash.heard_s)
+        if crash.heard_s - own_answered_s < CRASH_KEPT_S:
+            self.apply_answer(fingerprint, own_answered_s, crash.heard_s)
         return True
 
     def note_own_answer(self, fingerprint: int, now_s: float) -> None:
-        """Note that a request was answered for this entry, with or without crashes before."""
+        """Record an answer to a request of this entry, with or without earlier crashes."""
         self._own_answered_s.pop(fingerprint, None)
         self._own_answered_s[fingerprint] = now_s
-        if len(self._own_answered_s) > MOST_ANSWERED:
+        if len(self._own_answered_s) > MAX_ANSWERED:
             del self._own_answered_s[next(iter(self._own_answered_s))]
 
-    def take_answer(self, fingerprint: int, at_s: float, heard_s: float) -> bool:
-        """Note an answer to a request with crashes; return whether it is later than those known."""
+    def apply_answer(self, fingerprint: int, at_s: float, heard_s: float) -> bool:
+        """Record an answer to a request with crashes; return whether it is the latest known."""
         if at_s <= self._answered_s.get(fingerprint, NEVER_S):
             return False
         self._answered_s[fingerprint] = at_s
-        if len(self._answered_s) > MOST_CASES:
+        if len(self._answered_s) > MAX_CASES:
             del self._answered_s[next(iter(self._answered_s))]
         self._note_news(heard_s)
         return True
 
-    def keep_few(self, kept: Callable[[int], bool]) -> None:
-        """Forget a request with the fewest crashes, if there are too many.
+    def evict_excess(self, is_protected: Callable[[int], bool]) -> None:
+        """Evict a request with the fewest crashes if there are too many.
 
         Parameters
         ----------
         kept
-            Says which are not to be forgotten.
+            Returns whether a request must be kept.
         """
-        if len(self._crashes) <= MOST_CASES:
+        if len(self._crashes) <= MAX_CASES:
             return
-        others = (key for key in self._crashes if not kept(key))
+        others = (key for key in self._crashes if not is_protected(key))
         fewest = min(others, key=lambda key: len(self._crashes[key]), default=None)
         if fewest is not None:
             self._forget(fewest)
 
     def forget_old(self, now_s: float) -> None:
-        """Forget requests whose crashes count no more."""
+        """Remove requests whose crashes no longer count."""
         for fingerprint, known in list(self._crashes.items()):
             if not any(crash.counts(now_s) for crash in known.values()):
                 self._forget(fingerprint)
 
-    def crash_news(self, now_s: float, told_s: float, *, is_of_all: bool) -> tuple[CrashNews, ...]:
-        """Return the crashes to tell: of requests with most of them first, then the latest.
+    def crash_news(
+        self, now_s: float, max_age_s: float, *, includes_peers: bool
+    ) -> tuple[CrashNews, ...]:
+        """Return the crashes to send: requests with the most crashes first, then the latest.
 
         Parameters
         ----------
         now_s
             Present time.
-        told_s
-            How long ago this entry learned of them at most.
-        is_of_all
-            Whether those that others told are among them.
+        max_age_s
+            Maximum time since this entry learned of them.
+        includes_peers
+            Whether to include crashes received from peers.
         """
-        if now_s - self._news_s >= told_s:
+        if now_s - self._latest_news_s >= max_age_s:
             return ()
         found = [
             (
@@ -203,42 +209,42 @@
             )
             for fingerprint, known in self._crashes.items()
             for server, crash in known.items()
-            if now_s - crash.heard_s < told_s and (crash.is_own or is_of_all)
+            if now_s - crash.heard_s < max_age_s and (crash.is_own or includes_peers)
         ]
-        return tuple(news for _, _, news in sorted(found, reverse=True)[:MOST_CRASHES_TOLD])
+        return tuple(news for _, _, news in sorted(found, reverse=True)[:MAX_CRASHES_SENT])
 
     def answer_news(
-        self, now_s: float, told_s: float, *, is_of_all: bool
+        self, now_s: float, max_age_s: float, *, includes_peers: bool
     ) -> tuple[AnswerNews, ...]:
-        """Return the answers to tell, the latest first; parameters as for `crash_news`."""
-        if now_s - self._news_s >= told_s:
+        """Return the answers to send, the latest first; parameters as for `crash_news`."""
+        if now_s - self._latest_news_s >= max_age_s:
             return ()
         found = [
             AnswerNews(fingerprint, now_s - at_s)
             for fingerprint, at_s in self._answered_s.items()
-            if (is_of_all or fingerprint in self._own_answered_s)
-            and now_s - self._latest_s(fingerprint, at_s) < told_s
+            if (includes_peers or fingerprint in self._own_answered_s)
+            and now_s - self._latest_s(fingerprint, at_s) < max_age_s
         ]
-        return tuple(sorted(found, key=lambda news: news.age_s)[:MOST_ANSWERS_TOLD])
+        return tuple(sorted(found, key=lambda news: news.age_s)[:MAX_ANSWERS_SENT])
 
     def _latest_s(self, fingerprint: int, answered_s: float) -> float:
-        """Return when an answer or a crash of its request was last heard of."""
+        """Return the time of the latest answer, or when a crash was last learned of."""
         crashes = self._crashes.get(fingerprint, {}).values()
         return max([answered_s, *(crash.heard_s for crash in crashes)])
 
     def _note_news(self, heard_s: float) -> None:
         self.version += 1
-        self._news_s = max(self._news_s, heard_s)
+        self._latest_news_s = max(self._latest_news_s, heard_s)
 
     def _forget(self, fingerprint: int) -> None:
         del self._crashes[fingerprint]
         self._answered_s.pop(fingerprint, None)
 
 
-def _count_apart(times_s: Iterable[float]) -> int:
-    """Return how many moments these are, those close together being one."""
+def _count_separate(times_s: Iterable[float]) -> int:
+    """Count the given sorted times, those within `SAME_EVENT_S` of a counted one only once."""
     count, latest_s = 0, NEVER_S
     for time_s in times_s:
-        if time_s - latest_s >= TOGETHER_S:
+        if time_s - latest_s >= SAME_EVENT_S:
             count, latest_s = count + 1, time_s
     return count
--- a/packages/proxy/src/sassafrastally/proxy/crashes.py
+++ b/packages/proxy/src/sassafrastally/proxy/crashes.py
@@ -1,4 +1,4 @@
-"""Finds out whether a server that broke an answer off, or went silent, has crashed under it."""
+"""Detects whether a server that broke off an answer or went silent has crashed."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
     from sassafrastally.proxy.quarantining import Quarantining
     from sassafrastally.proxy.task import RequestTask
 
-KNOWN_WITHIN_S = 0.15
-"""How long a request waits for the finding before it goes elsewhere. The host of a process that has
-ended refuses a connection within one round trip, some milliseconds; a host that is silent for
-longer says nothing, and the request's time is short."""
+PROBE_WAIT_S = 0.15
+"""How long a request waits for the probe before it fails over. The host of a process that has ended
+refuses a connection within one round trip, a few milliseconds. A host that takes longer gives no
+evidence of a crash, and the request's time is limited."""
 
-LAPSES_WITHIN_S = 8.0
-"""Time from a request's silence until its server's entry has lapsed, if it has ended: servers write
-each second, and three writes that are missing end the entry. More is for a busy store."""
+LEASE_EXPIRY_WINDOW_S = 8.0
+"""Maximum time from an unanswered request until the lease of its server expires, if the server has
+ended. Servers renew each second and expire after three missed renewals; the rest is a margin for a
+busy store."""
 
-MOST_UNANSWERED = 16
-"""Requests kept for one silent server: what it runs and what waits there."""
+MAX_UNANSWERED = 16
+"""Maximum number of requests kept for one silent server: those that it runs and those that wait."""
 
 
 class _Unanswered(NamedTuple):
-    """A request without a whole answer; its body, which may be megabytes, isn't kept for it."""
+    """A request without a complete answer; its body, which may be megabytes, isn't kept."""
 
     fingerprint: int
     request_id: str
@@ -42,18 +43,18 @@
 
 
 class Crashes:
-    """Finds and notes crashes, in the background of requests.
+    """Detects and records server crashes in the background of requests.
 
     Parameters
     ----------
     kernel
-        Log of the process.
+        Clock, services and log of the process.
     nursery
-        Where findings are waited for, so that a request whose time ends doesn't lose its finding.
+        Runs the probes, so that a request whose time limit passes doesn't cancel its probe.
     liveness
-        Tries connections.
+        Probes connections.
     quarantine
-        Hears of crashes.
+        Receives the crashes.
     """
 
     def __init__(
@@ -69,43 +70,43 @@
         self._quarantine = quarantine
         self._backpressure = kernel.get("backpressure", Backpressure)
         self._beliefs = kernel.get("beliefs", Beliefs)
-        self._beliefs.on_life_ended = self._note_life_ended
+        self._beliefs.on_incarnation_ended = self._note_incarnation_ended
         self._unanswered: dict[str, deque[_Unanswered]] = {}
 
     async def note_broken_off(self, server: BackendServer, task: RequestTask, cause: str) -> None:
-        """Note that an answer broke off; return when it is known whether its server has crashed.
+        """Record that an answer broke off; return once the server is probed or a timeout passes.
 
         Parameters
         ----------
         server
-            Who answered.
+            Server that answered.
         task
             The request.
         cause
-            How its answer broke off.
+            Description of the failure, for the log.
         """
         is_known = trio.Event()
         self._nursery.start_soon(self._find, server, task, cause, is_known)
-        with trio.move_on_after(KNOWN_WITHIN_S):
+        with trio.move_on_after(PROBE_WAIT_S):
             await is_known.wait()
         if self._quarantine.crashes_under(task.fingerprint):
-            # Other entries are told meanwhile what ran there, and tell what ran there for them.
+            # Waits until the entries have exchanged which of their requests ran on that server.
             await trio.sleep(self._quarantine.news_age_s)
 
     def note_unanswered(self, server: BackendServer, task: RequestTask) -> None:
-        """Note that an answer didn't come, or not whole, and that the server may have ended.
+        """Record that an answer is missing or incomplete and that the server may have ended.
 
-        A slow server and a cut link are as silent, and a supervisor may hold the port of a process
-        that has ended. If the server's entry lapses soon after or another life follows, it has
-        ended, and only then that counts.
+        A slow server and a cut link look the same, and a supervisor may hold the port of an ended
+        process. A crash is only counted if the server's lease expires soon after or a new
+        incarnation registers.
         """
         now_s = self._kernel.clock.now_s()
         self._unanswered = {
             life_id: requests
             for life_id, requests in self._unanswered.items()
-            if any(now_s - one.at_s < LAPSES_WITHIN_S for one in requests)
+            if any(now_s - one.at_s < LEASE_EXPIRY_WINDOW_S for one in requests)
         }
-        requests = self._unanswered.setdefault(server.life_id, deque(maxlen=MOST_UNANSWERED))
+        requests = self._unanswered.setdefault(server.life_id, deque(maxlen=MAX_UNANSWERED))
         requests.append(_Unanswered(task.fingerprint, task.request.facts.request_id, now_s))
 
     async def _find(
@@ -122,19 +123,19 @@
         finally:
             is_known.set()
 
-    def _note_life_ended(self, server: BackendServer) -> None:
+    def _note_incarnation_ended(self, server: BackendServer) -> None:
         requests = self._unanswered.pop(server.life_id, ())
         if server.is_draining or self._backpressure.is_leaving(server):
             return
         now_s = self._kernel.clock.now_s()
         for one in requests:
-            if now_s - one.at_s < LAPSES_WITHIN_S:
-                cause = "no whole answer, and then the server's life ended"
+            if now_s - one.at_s < LEASE_EXPIRY_WINDOW_S:
+                cause = "no complete answer, and the server's incarnation ended afterwards"
                 age_s = now_s - one.at_s
                 self._note_crash(server, one.fingerprint, one.request_id, cause, age_s=age_s)
 
     def _was_leaving(self, server: BackendServer) -> bool:
-        """Return whether a server was to leave: what ends then is cut off by plan."""
+        """Return whether a server was leaving or draining; its end is planned then."""
         if self._backpressure.is_leaving(server):
             return True
         known = self._beliefs.server(server.server_id)
--- a/packages/proxy/src/sassafrastally/proxy/fingerprint.py
+++ b/packages/proxy/src/sassafrastally/proxy/fingerprint.py
@@ -1,7 +1,8 @@
-"""What makes two requests the same one, whatever ids and connections they come with.
+"""Fingerprints that identify equal requests across retries.
 
-A caller's retry has a new request id, comes at another entry and may ask to continue a stream
-elsewhere. Its path, its caller and its body stay, and they decide what a backend server does.
+A caller's retry has a new request id, may arrive at another entry and may resume a stream
+elsewhere. Its customer, method, host, target and body stay the same and determine what a backend
+server does.
 """
 
 from __future__ import annotations
@@ -10,8 +11,8 @@
 import re
 
 DIGEST_BYTES = 8
-"""Length of a fingerprint. Two of a million requests a second share one by chance once in some
-hundred thousand years; who wants another customer's would have to try 2^64 bodies."""
+"""Length of a fingerprint. At a million requests per second, a chance collision occurs once in
+about a hundred thousand years; forging another customer's fingerprint takes 2^64 bodies."""
 
 
 _TEXT = re.compile(r"[0-9a-f]{16}")
@@ -23,10 +24,10 @@
     Parameters
     ----------
     customer
-        Whose request it is; empty where nobody needs a key. With it, no customer can let another
-        one's requests be taken for its own.
+        Customer of the request; empty where no key is required. Included so that no customer can
+        produce the fingerprint of another customer's request.
     method, host, target
-        What is asked for, the query included.
+        HTTP method, host, and target with its query.
     body
         The whole body.
     """
@@ -39,12 +40,12 @@
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """Return a fingerprint as logs, answers and keys of the store show it."""
+    """Format a fingerprint for logs, answers and store keys."""
     return f"{fingerprint:016x}"
 
 
 def parse_fingerprint(text: str) -> int:
-    """Return the fingerprint of its text; raises `ValueError`."""
+    """Parse the text of a fingerprint; raises `ValueError`."""
     if not _TEXT.fullmatch(text):
-        raise ValueError(f"no fingerprint: {text[:40]!r}")
+        raise ValueError(f"invalid fingerprint: {text[:40]!r}")
     return int(text, 16)
--- a/packages/proxy/src/sassafrastally/proxy/leaving.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving.py
@@ -1,9 +1,9 @@
-"""Backend servers that leave, by what their answers say or look like, while the store can't tell.
+"""Detection of leaving backend servers from their answers, for when the store is unavailable.
 
-The load that it answers: a quarter of the engines drain while the store is away. A long prompt is
-read by up to seventeen engines, and one that drains turns the whole prompt away; nearly none came
-through. A refusal names one such engine; left alone for a second like one that failed, it was asked
-again by the next entry, so that none of them was ever known for long.
+With a quarter of the engines draining during a store outage, nearly no long prompt succeeded: up to
+seventeen engines share a prompt's prefill, and a single draining one refuses the whole prompt. Its
+refusal names one such engine. Avoided only for a second, like a failed server, that engine was
+tried again by the next entry, so that no entry knew the draining engines for long.
 """
 
 from __future__ import annotations
@@ -16,100 +16,102 @@
     from sassafrastally.proxy.load import Work
 
 NEWS_AGE_S = 1.0
-"""Age from which on what is known of the servers may lack one that leaves: a watch brings something
-each second."""
+"""Age above which the view of the servers may miss one that is leaving; a watch returns at least
+once per second."""
 
 LEAVING_S = 8.0
-"""How long such a server is left alone; one that drains is gone by then."""
+"""How long a server that looks like leaving is avoided; a draining one is gone by then."""
 
 FORGOTTEN_S = 600.0
-"""How long a server's own word is remembered once its entry is gone."""
+"""How long a server's announcement is remembered after its store record is gone."""
 
-CONFIRMED_S = 2.0
-"""When what is known of the servers is confirmed this long after, one that is still there doesn't
-leave: its word to the store has arrived by then."""
+CONFIRMATION_DELAY_S = 2.0
+"""If the view of the servers is confirmed this long after the refusal, the server is no longer
+avoided: a leaving one would have updated its store record by then."""
 
 FULL_SHARE = 0.5
-"""Share of its slots known to be taken from which on a server may have been full: in a burst, up to
-half of its requests haven't been heard of yet."""
+"""Known share of used slots from which a server may have been full: in a burst, up to half of its
+requests aren't known here yet."""
 
 
 def looks_leaving(work: Work, slots: int, news_age_s: float) -> bool:
-    """Return whether a refusal is best explained by a server that leaves.
+    """Return whether a refusal most likely means that the server is leaving.
 
     Parameters
     ----------
     work
-        What is known of the work at the server.
+        Known work at the server.
     slots
-        Requests that it runs at once.
+        Number of requests that it runs concurrently.
     news_age_s
-        Age of what is known of the servers.
+        Age of the view of the servers.
     """
     is_loaded = work.requests + work.reading_requests >= FULL_SHARE * slots
     return news_age_s > NEWS_AGE_S and not is_loaded
 
 
 class LeavingServers:
-    """Those that this process has met."""
+    """Servers whose refusals to this process look like leaving."""
 
     def __init__(self) -> None:
         self._since_s: dict[str, float] = {}
 
     def note(self, life_id: str, now_s: float) -> None:
-        """Note a refusal that looks like leaving."""
+        """Record a refusal that looks like leaving."""
         self._since_s[life_id] = now_s
 
     def left_alone(self, now_s: float, confirmed_s: float) -> dict[str, float]:
-        """Return the servers to be left alone, with the seconds left.
+        """Return the servers to avoid, with the remaining seconds.
 
         Parameters
         ----------
         now_s
             Present time.
         confirmed_s
-            When what is known of the servers was last confirmed.
+            When the view of the servers was last confirmed.
         """
         self._since_s = {
             life_id: since_s
             for life_id, since_s in self._since_s.items()
-            if now_s - since_s < LEAVING_S and confirmed_s < since_s + CONFIRMED_S
+            if now_s - since_s < LEAVING_S and confirmed_s < since_s + CONFIRMATION_DELAY_S
         }
         return {life_id: since_s + LEAVING_S - now_s for life_id, since_s in self._since_s.items()}
 
 
 class DeclaredLeaving:
-    """Servers that have said so themselves; they leave for good.
+    """Servers that have announced that they are leaving, which is final.
 
-    A server's entry in the store may lapse with an outage and come back; what it has said still
-    holds then.
+    A server's store record may expire during an outage and be written again; its announcement
+    remains valid.
     """
 
     def __init__(self) -> None:
-        self._said_s: dict[str, float] = {}
+        self._announced_s: dict[str, float] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._said_s)
+        return bool(self._announced_s)
 
     def __contains__(self, life_id: object) -> bool:
-        return life_id in self._said_s
+        return life_id in self._announced_s
 
     def note(self, life_id: str, now_s: float) -> bool:
-        """Note a server's word; return whether it is the first."""
-        is_first = life_id not in self._said_s
-        self._said_s[life_id] = now_s
+        """Record a server's announcement; return whether it is the first."""
+        is_first = life_id not in self._announced_s
+        self._announced_s[life_id] = now_s
         return is_first
 
     def told(self, now_s: float) -> dict[str, float]:
-        """Return the servers that peers are told to leave alone, with the seconds left.
+        """Return the servers that peers should avoid, with the remaining seconds.
 
-        By the end of these a server has gone, or tells the peers itself.
+        After that time, a server is gone or has announced it to the peers itself.
         """
-        left = {life_id: said_s + LEAVING_S - now_s for life_id, said_s in self._said_s.items()}
+        left = {
+            life_id: said_s + LEAVING_S - now_s for life_id, said_s in self._announced_s.items()
+        }
         return {life_id: left_s for life_id, left_s in left.items() if left_s > 0}
 
     def forget_gone(self, known: Collection[str], now_s: float) -> None:
-        """Forget servers that nobody has told of for a long time."""
-        for life_id in self._said_s.keys() - known:
-            if now_s - self._said_s[life_id] > FORGOTTEN_S:
-                del self._said_s[life_id]
+        """Remove unknown servers whose last announcement is older than `FORGOTTEN_S`."""
+        for life_id in self._announced_s.keys() - known:
+            if now_s - self._announced_s[life_id] > FORGOTTEN_S:
+                del self._announced_s[life_id]
--- a/packages/proxy/src/sassafrastally/proxy/limit_news.py
+++ b/packages/proxy/src/sassafrastally/proxy/limit_news.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of the limits that backend servers name."""
+"""Exchange of backend servers' rate limits between entries."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class LimitNews(NamedTuple):
-    """What a server last said of the requests that it takes."""
+    """Latest rate limit that a server announced."""
 
     most_per_s: float | None
-    """Requests a second from all entries together; ``None``: it no longer names a limit."""
+    """Requests per second over all entries; ``None`` if the server no longer has a limit."""
     age_s: float
 
 
 class LimitExchange(Protocol):
-    """Limits of servers, as the exchange of datagrams sees them."""
+    """Source and receiver of server limits for the datagram exchange."""
 
     def news(self) -> Mapping[int, LimitNews]:
-        """Return what peers are told, by hash of the server's life, the latest first."""
+        """Return the limits to send, by hash of the server's incarnation, the latest first."""
         ...
 
     def take(self, news: Mapping[int, LimitNews], host: str) -> None:
-        """Take what a peer tells."""
+        """Apply the limits received from a peer."""
         ...
 
 
-class NothingLimited:
-    """The exchange of an entry that knows no limits."""
+class NullLimitExchange:
+    """Exchange that sends no limits and ignores received ones; used as the default."""
 
     def news(self) -> Mapping[int, LimitNews]:
-        """Return nothing."""
+        """Return no limits."""
         return {}
 
     def take(self, news: Mapping[int, LimitNews], host: str) -> None:
-        """Take nothing."""
+        """Ignore received limits."""
--- a/packages/proxy/src/sassafrastally/proxy/liveness.py
+++ b/packages/proxy/src/sassafrastally/proxy/liveness.py
@@ -1,4 +1,4 @@
-"""Whether anybody still listens at a backend server's address."""
+"""Probes whether a backend server's address still accepts connections."""
 
 from __future__ import annotations
 
@@ -13,85 +13,87 @@
     from sassafrastally.proxy.model import BackendServer
 
 DROPPED_WITHIN_S = 0.02
-"""How long a connection is watched for its end; a port that nobody serves resets it at once."""
+"""How long an idle connection is watched for being closed; a port that no process serves resets it
+at once."""
 
-BELIEVED_S = 0.1
-"""How long a refused connection serves further questions: all requests that one crash breaks off
-ask within some milliseconds. That somebody listens serves only those who ask meanwhile, since a
-server that broke one answer off may crash the moment after."""
+REFUSAL_REUSED_S = 0.1
+"""How long a refused connection is reused as the result of further probes: all requests that one
+crash breaks off probe within a few milliseconds. A successful connection is shared only with probes
+made while it is in progress, since a server that broke off one answer may crash right after."""
 
-KEPT_FINDINGS = 256
-"""Findings that are kept; more servers don't break off requests of one process in that time."""
+MAX_CACHED_FINDINGS = 256
+"""Maximum number of cached findings; no more servers break off requests of one process within the
+cache time."""
 
 
 class Finding(NamedTuple):
-    """What a connection tried at a server's address showed."""
+    """Result of a connection attempt to a server's address."""
 
     is_listening: bool
     is_refused: bool
-    """The host answers and no process has the port: the server's process has ended. Without
-    either, the host is silent, which a cut link looks like as well."""
+    """The host responds but no process has the port, so the server's process has ended. If neither
+    flag is set, the host doesn't respond, as with a cut link."""
     detail: str
     is_dropped: bool = False
-    """The connection was taken and ended at once: nobody serves behind the port, or a link resets
-    what passes."""
+    """The connection was accepted and closed at once: no process serves the port, or the link
+    resets connections."""
 
 
-class _Check:
-    """A connection that is being tried, or has been."""
+class _Probe:
+    """A connection attempt, in progress or done."""
 
     def __init__(self, begin_s: float) -> None:
         self.begin_s = begin_s
         self.done = trio.Event()
         self.finding = Finding(False, False, "")
 
-    def is_believed(self) -> bool:
-        """Return whether it still answers who asks now."""
+    def is_reusable(self) -> bool:
+        """Return whether its finding can be used for a probe made now."""
         if not self.done.is_set():
             return True
-        return self.finding.is_refused and trio.current_time() - self.begin_s < BELIEVED_S
+        return self.finding.is_refused and trio.current_time() - self.begin_s < REFUSAL_REUSED_S
 
 
 class Liveness:
-    """Tries connections to servers that broke something off; one for all who ask at a time.
+    """Probes servers that broke off an answer; concurrent probes share one connection.
 
     Parameters
     ----------
     nursery
-        Where connections are tried, so that a request that ends doesn't end the question.
+        Where connections are made, so that a request that ends doesn't cancel a shared probe.
     """
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self._nursery = nursery
-        self._checks: dict[str, _Check] = {}
+        self._probes: dict[str, _Probe] = {}
 
     async def find(self, server: BackendServer) -> Finding:
-        """Return whether anybody listens at the server's address."""
-        check = self._checks.get(server.life_id)
-        if check is None or not check.is_believed():
-            check = _Check(trio.current_time())
-            self._checks.pop(server.life_id, None)
-            self._checks[server.life_id] = check
-            if len(self._checks) > KEPT_FINDINGS:
-                del self._checks[next(iter(self._checks))]
-            self._nursery.start_soon(self._try, server, check)
-        await check.done.wait()
-        return check.finding
-
-    async def _try(self, server: BackendServer, check: _Check) -> None:
+        """Probe a server's address, or return the finding of a recent or running probe."""
+        probe = self._probes.get(server.life_id)
+        if probe is None or not probe.is_reusable():
+            probe = _Probe(trio.current_time())
+            self._probes.pop(server.life_id, None)
+            self._probes[server.life_id] = probe
+            if len(self._probes) > MAX_CACHED_FINDINGS:
+                del self._probes[next(iter(self._probes))]
+            self._nursery.start_soon(self._try, server, probe)
+        await probe.done.wait()
+        return probe.finding
+
+    async def _try(self, server: BackendServer, probe: _Probe) -> None:
         try:
             stream = await connect(server.address, CONNECT_TIME_S)
             is_dropped = await _is_dropped(stream)
             await trio.aclose_forcefully(stream)
-            check.finding = Finding(True, False, "", is_dropped)
+            probe.finding = Finding(True, False, "", is_dropped)
         except ConnectionLost as cause:
-            check.finding = Finding(False, cause.is_refused, cause.detail)
+            probe.finding = Finding(False, cause.is_refused, cause.detail)
         finally:
-            check.done.set()
+            probe.done.set()
 
 
 async def _is_dropped(stream: trio.abc.Stream) -> bool:
-    """Return whether the other side ends a connection on which nothing was sent."""
+    """Return whether the other side closes a connection on which nothing was sent."""
     with trio.move_on_after(DROPPED_WITHIN_S):
         try:
             return not await stream.receive_some(1)
--- a/packages/proxy/src/sassafrastally/proxy/peer_messages.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_messages.py
@@ -1,8 +1,8 @@
-"""Messages between entries, coded by Cap'n Proto.
+"""Messages between entries, encoded with Cap'n Proto.
 
-A datagram carries the sender's own work, or the sum over its data centre; what it doesn't mention
-is idle. Changes of configuration and backend servers are fetched by a call when a datagram names a
-newer revision.
+A datagram carries the sender's own work, or the sum over its data centre; servers that aren't
+listed are idle. Changes of configuration and backend servers are fetched with a separate call when
+a datagram names a newer revision.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import capnp
 
-# KvEntry and KvEvent at run time too: they are fields of named tuples.
+# Runtime import: KvEntry and KvEvent are field types of named tuples.
 from sassafrastally.core import KvEntry, KvEvent
 from sassafrastally.proxy.beliefs import Delta
 from sassafrastally.proxy.dialect import DocumentInvalid
@@ -38,27 +38,30 @@
 SCHEMA_FILE = Path(__file__).with_name("peers.capnp")
 
 MOST_BYTES = 1400
-"""A datagram is smaller than this, below a link's usual MTU. Some 90 usual loads fit; of more the
-least are left out."""
+"""Datagrams are smaller than this, below a link's usual MTU. About 90 usual loads fit; if there are
+more, the smallest are left out."""
 
-MOST_NOTED = 45
-"""Suspects in one datagram, and slow engines: the rest of it is for loads."""
+MAX_FLAGGED_SERVERS = 45
+"""Maximum number of suspects, and of slow engines, in one datagram; the rest is for loads."""
 
 MOST_LIMITS = 20
-"""Limits of servers in one datagram; an entry hears of the others by their answers."""
+"""Maximum number of server limits in one datagram; an entry learns the others from the servers'
+answers."""
 
-MOST_PEERS = 64
-"""Peers named in one datagram; a new entry needs one of them to learn the others."""
+MAX_LISTED_PEERS = 64
+"""Maximum number of peers listed in one datagram; a new entry discovers all others through any of
+them."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest; higher levels take five times as long for a tenth fewer bytes."""
+"""Fastest zlib level; higher levels take five times as long and save a tenth of the bytes."""
 
-MOST_DELTA_WORDS = 16 * 1024 * 1024
-"""Words of eight bytes that an answer may hold: some hundred of the store's largest values."""
+MAX_DELTA_WORDS = 16 * 1024 * 1024
+"""Traversal limit of an answer in words of eight bytes: about a hundred of the store's largest
+values."""
 
 
 class Hello(NamedTuple):
-    """What an entry tells its peers."""
+    """State that an entry sends to its peers, or the sum that a relay sends."""
 
     host: str
     boot_id: int
@@ -69,25 +72,25 @@
     loads: dict[int, Work]
     peers: tuple[str, ...]
     suspects: dict[int, float]
-    """Seconds for which a backend server is left alone, by hash of its id."""
+    """Remaining seconds for which a backend server is avoided, by hash of its id."""
     paces: dict[int, float]
-    """Pace of the engines that are slow, by hash of the id."""
+    """Pace of each slow engine, by hash of its id."""
     store_age_s: float
-    """Time since the sender itself had an answer of the store."""
+    """Time since the store last answered the sender itself."""
     returned_age_s: float
     """Time since the store last returned from an outage, as far as the sender knows."""
     data_centre: str
     link_mbps: int
     """Speed of the sender's link, megabits a second."""
     entries: int = 0
-    """0: the sender tells of itself. Otherwise loads, suspects and paces are the sum over that many
-    entries of its data centre, and `peers` names them."""
+    """0 if the message describes the sender alone. Otherwise loads, suspects and paces are
+    aggregated over this many entries of its data centre, and `peers` lists them."""
     watchers: tuple[OtherEntry, ...] = ()
-    """With a sum: the entries of the data centre that may watch the store for all."""
+    """In a sum: the entries of the data centre that may watch the store for all."""
     quarantine: QuarantineNews = NO_NEWS
-    """What is new of requests under which servers crash."""
+    """Updates on requests during which servers crash."""
     limits: Mapping[int, LimitNews] = MappingProxyType({})
-    """What servers say of the requests that they take, by hash of the id, the latest first."""
+    """Request rate limits that servers announce, by hash of the id, the latest first."""
 
 
 @cache
@@ -97,7 +100,7 @@
 
 
 def encode_hello(hello: Hello) -> bytes:
-    """Return the datagram."""
+    """Encode a datagram, dropping the smallest loads and then flags if it is too large."""
     loads = sorted(hello.loads.items(), key=lambda item: (-item[1].reading_ms, -item[1].requests))
     while True:
         data = _encode(hello, loads)
@@ -116,7 +119,7 @@
 
 
 def _first_half(notes: Mapping[int, _Note]) -> dict[int, _Note]:
-    kept = min(len(notes), MOST_NOTED) // 2
+    kept = min(len(notes), MAX_FLAGGED_SERVERS) // 2
     return dict(list(notes.items())[:kept])
 
 
@@ -126,27 +129,27 @@
         bootId=hello.boot_id,
         sequence=hello.sequence,
         revision=hello.revision,
-        confirmedAgeMs=_thousandths(hello.confirmed_age_s),
+        confirmedAgeMs=_to_thousandths(hello.confirmed_age_s),
         isStopping=hello.is_stopping,
         loads=[_encode_load(key, work) for key, work in loads],
-        peers=list(hello.peers[:MOST_PEERS]),
+        peers=list(hello.peers[:MAX_LISTED_PEERS]),
         suspects=[
             {"server": key, "forMs": int(for_s * 1000)}
-            for key, for_s in list(hello.suspects.items())[:MOST_NOTED]
+            for key, for_s in list(hello.suspects.items())[:MAX_FLAGGED_SERVERS]
         ],
         paces=[
             {"server": key, "percent": min(int(pace * 100), 0xFFFFFFFF)}
-            for key, pace in list(hello.paces.items())[:MOST_NOTED]
+            for key, pace in list(hello.paces.items())[:MAX_FLAGGED_SERVERS]
         ],
-        storeAgeMs=_thousandths(hello.store_age_s),
-        returnedAgeMs=_thousandths(hello.returned_age_s),
+        storeAgeMs=_to_thousandths(hello.store_age_s),
+        returnedAgeMs=_to_thousandths(hello.returned_age_s),
         dataCentre=hello.data_centre,
         linkMbps=hello.link_mbps,
         entries=hello.entries,
         watchers=[
             {
                 "host": watcher.host,
-                "storeAgeMs": _thousandths(watcher.store_age_s),
+                "storeAgeMs": _to_thousandths(watcher.store_age_s),
                 "linkMbps": watcher.link_mbps,
             }
             for watcher in hello.watchers
@@ -155,7 +158,7 @@
             {
                 "request": crash.fingerprint,
                 "server": crash.server,
-                "ageMs": _thousandths(crash.age_s),
+                "ageMs": _to_thousandths(crash.age_s),
                 "isPresumed": crash.is_presumed,
             }
             for crash in hello.quarantine.crashes
@@ -163,13 +166,13 @@
         verdicts=[
             {
                 "request": verdict.fingerprint,
-                "leftMs": _thousandths(verdict.left_s),
+                "leftMs": _to_thousandths(verdict.left_s),
                 "crashes": min(verdict.crashes, 0xFFFF),
             }
             for verdict in hello.quarantine.verdicts
         ],
         answers=[
-            {"request": answer.fingerprint, "ageMs": _thousandths(answer.age_s)}
+            {"request": answer.fingerprint, "ageMs": _to_thousandths(answer.age_s)}
             for answer in hello.quarantine.answers
         ],
         limits=[_encode_limit(key, news) for key, news in list(hello.limits.items())[:MOST_LIMITS]],
@@ -179,7 +182,7 @@
 
 
 def decode_hello(data: bytes) -> Hello:
-    """Return the message of a datagram; raises `DocumentInvalid`."""
+    """Decode a datagram; raises `DocumentInvalid`."""
     try:
         message = _schema().Hello.from_bytes_packed(data)
         return Hello(
@@ -206,7 +209,7 @@
             limits={limit.server: _decode_limit(limit) for limit in message.limits},
         )
     except (capnp.KjException, ValueError) as cause:
-        raise DocumentInvalid(f"datagram of a peer: {cause!r}") from cause
+        raise DocumentInvalid(f"invalid datagram from a peer: {cause!r}") from cause
 
 
 def _decode_quarantine(message: Any) -> QuarantineNews:
@@ -228,9 +231,9 @@
 def _encode_limit(key: int, news: LimitNews) -> dict[str, int | bool]:
     return {
         "server": key,
-        "milliPerSecond": _thousandths(news.most_per_s or 0.0),
+        "milliPerSecond": _to_thousandths(news.most_per_s or 0.0),
         "isEnded": news.most_per_s is None,
-        "ageMs": _thousandths(news.age_s),
+        "ageMs": _to_thousandths(news.age_s),
     }
 
 
@@ -239,8 +242,8 @@
     return LimitNews(most_per_s, limit.ageMs / 1000)
 
 
-def _thousandths(figure: float) -> int:
-    """Return the figure of the schema, which for times ends at 49 days."""
+def _to_thousandths(figure: float) -> int:
+    """Return a value in thousandths as a 32-bit integer, which limits times to 49 days."""
     return int(min(max(0.0, figure) * 1000 + 0.5, 0xFFFFFFFF))
 
 
@@ -272,23 +275,23 @@
 
 
 def encode_delta(delta: Delta) -> bytes:
-    """Return the body of the answer to a peer that lacks changes.
+    """Encode the response body for a peer that is missing changes.
 
-    Compressed, since configurations are long, alike in their parts, and needed at once.
+    The body is compressed, since configurations are large and repetitive and must arrive quickly.
     """
     message = _schema().Delta.new_message(
         revision=delta.revision,
         isEverything=delta.entries is not None,
-        items=[_item(*item[:3]) for item in (delta.entries or delta.events)],
+        items=[_encode_item(*item[:3]) for item in (delta.entries or delta.events)],
     )
     return zlib.compress(message.to_bytes(), COMPRESSION_LEVEL)
 
 
 def decode_delta(body: bytes) -> Delta:
-    """Return the changes of an answer; raises `DocumentInvalid`."""
+    """Decode the changes in a response body; raises `DocumentInvalid`."""
     try:
         with _schema().Delta.from_bytes(
-            zlib.decompress(body), traversal_limit_in_words=MOST_DELTA_WORDS
+            zlib.decompress(body), traversal_limit_in_words=MAX_DELTA_WORDS
         ) as message:
             if message.isEverything:
                 entries = tuple(
@@ -301,8 +304,8 @@
             )
             return Delta(None, events, message.revision)
     except (zlib.error, capnp.KjException, ValueError) as cause:
-        raise DocumentInvalid(f"changes of a peer: {cause!r}") from cause
+        raise DocumentInvalid(f"invalid changes from a peer: {cause!r}") from cause
 
 
-def _item(key: str, value: bytes | None, revision: int) -> dict[str, Any]:
+def _encode_item(key: str, value: bytes | None, revision: int) -> dict[str, Any]:
     return {"key": key, "value": value or b"", "isRemoved": value is None, "revision": revision}
--- a/packages/proxy/src/sassafrastally/proxy/peer_table.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_table.py
@@ -1,7 +1,8 @@
-"""What is known of the other entries, by what they tell.
+"""Table of the other entries and data centres, built from their datagrams.
 
-Entries of the own data centre tell of themselves. Of another one a sum is taken where one comes,
-and its single entries otherwise, never both: their work would count twice.
+Entries of the own data centre send their own state. For another data centre, the sum from its relay
+is used if one arrives, and its entries' own datagrams otherwise; never both, since their work would
+count twice.
 """
 
 from __future__ import annotations
@@ -18,49 +19,50 @@
     from sassafrastally.proxy.load import Work
     from sassafrastally.proxy.peer_messages import Hello
 
-AGED_OUT_S = 1.0
-"""A peer counts as gone after four missed datagrams; one or two are lost now and then."""
+PEER_TIMEOUT_S = 1.0
+"""A peer counts as dead after four missed datagrams; one or two may be lost."""
 
 FORGOTTEN_S = 60.0
-"""After this a silent peer's address is no longer tried."""
+"""Time after which a silent peer is removed and no longer sent datagrams."""
 
-MEMBER_S = 5.0
-"""An entry that nobody has heard or named for this long sends no more requests. Longer than its
-news takes to age out: what it could send must not be sent by others before it has gone."""
+MEMBER_TIMEOUT_S = 5.0
+"""An entry counts as a member until no entry has received from it or listed it for this long.
+Longer than its state takes to time out: others must not take over its share of the request rate
+while it may still send."""
 
 SUM_WAY_S = 0.5
-"""How much later an entry's news arrives with the sum of its data centre: two of its datagrams and
-a sum may be on their way."""
+"""Additional delay of an entry's state that arrives with the sum of its data centre: two of its
+datagrams and one sum may be in transit."""
 
 
 class Peer:
-    """What is known of one other entry."""
+    """State of one other entry."""
 
-    def __init__(self, host: str, data_centre: str, named_s: float) -> None:
+    def __init__(self, host: str, data_centre: str, address_seen_s: float) -> None:
         self.host = host
         self.data_centre = data_centre
-        """Empty until it is known."""
-        self.named_s = named_s
-        """When others last named it."""
+        """Empty until known."""
+        self.address_seen_s = address_seen_s
+        """When its address last appeared in a datagram or in the store."""
         self.heard_s = float("-inf")
-        """When it last told of itself."""
+        """When its last datagram arrived."""
         self.hello: Hello | None = None
 
 
-class CentreSum(NamedTuple):
-    """What a relay tells of its data centre."""
+class DataCentreSum(NamedTuple):
+    """Sum received from a relay of a data centre."""
 
     hello: Hello
     heard_s: float
 
 
 class Receivers(NamedTuple):
-    """To whom datagrams go."""
+    """Destinations of datagrams."""
 
     own: tuple[str, ...]
-    """Hosts that are told of this entry itself."""
+    """Hosts that get this entry's own state."""
     of_sum: tuple[str, ...]
-    """Hosts that are told the sum of its data centre; none unless it is a relay."""
+    """Hosts that get the sum of its data centre; empty unless this entry is a relay."""
 
 
 class PeerTable:
@@ -71,35 +73,35 @@
     own
         This entry.
     data_centre
-        Its data centre.
+        This entry's data centre.
     """
 
     def __init__(self, own: Member, data_centre: str) -> None:
         self._own = own
         self._data_centre = data_centre
         self._peers: dict[str, Peer] = {}
-        self._sums: dict[tuple[str, str], CentreSum] = {}
+        self._sums: dict[tuple[str, str], DataCentreSum] = {}
 
     def know(self, host: str, data_centre: str, now_s: float) -> Peer | None:
-        """Note an entry's address; return what is known of it, ``None`` for this entry itself."""
+        """Add or refresh an entry's address; return its state, ``None`` for this entry itself."""
         if host == self._own.host or not host:
             return None
         peer = self._peers.get(host)
         if peer is None:
             peer = self._peers[host] = Peer(host, data_centre, now_s)
         peer.data_centre = data_centre or peer.data_centre
-        peer.named_s = now_s
+        peer.address_seen_s = now_s
         return peer
 
     def take(self, hello: Hello, now_s: float) -> bool:
-        """Note a datagram; return whether it says something new."""
+        """Apply a datagram; return whether it is newer than what is known."""
         peer = self.know(hello.host, hello.data_centre, now_s)
         if peer is None:
             return False
         if not hello.entries:
             for host in hello.peers:
                 self.know(host, "", now_s)
-            if _is_overtaken(peer.hello, hello):
+            if _is_stale(peer.hello, hello):
                 return False
             peer.hello = hello
             peer.heard_s = now_s
@@ -108,43 +110,44 @@
             self.know(host, hello.data_centre, now_s)
         key = (hello.data_centre, hello.host)
         known = self._sums.get(key)
-        if known and _is_overtaken(known.hello, hello):
+        if known and _is_stale(known.hello, hello):
             return False
-        self._sums[key] = CentreSum(hello, now_s)
+        self._sums[key] = DataCentreSum(hello, now_s)
         return True
 
     def loads_of(self, host: str) -> Mapping[int, Work]:
-        """Return the work that an entry told of itself."""
+        """Return the work that an entry last sent."""
         peer = self._peers.get(host)
         return peer.hello.loads if peer and peer.hello else {}
 
     def silent_s(self, host: str, now_s: float) -> float:
-        """Return how long an entry hasn't told of itself."""
+        """Return the time since an entry's last datagram."""
         peer = self._peers.get(host)
         return now_s - peer.heard_s if peer else float("inf")
 
     def live(self, now_s: float) -> list[Peer]:
-        """Return the entries that tell of themselves."""
-        oldest_s = now_s - AGED_OUT_S
+        """Return the entries whose own datagrams arrive."""
+        oldest_s = now_s - PEER_TIMEOUT_S
         return [peer for peer in self._peers.values() if peer.heard_s > oldest_s]
 
     def members(self, now_s: float) -> set[str]:
-        """Return the other entries, of whatever data centre, that may send requests to servers."""
-        oldest_s = now_s - MEMBER_S
+        """Return the other entries of all data centres that may send requests to servers."""
+        oldest_s = now_s - MEMBER_TIMEOUT_S
         return {
             peer.host
             for peer in self._peers.values()
-            if max(peer.heard_s, peer.named_s) > oldest_s
+            if max(peer.heard_s, peer.address_seen_s) > oldest_s
             and not (peer.hello and peer.hello.is_stopping)
         }
 
     def newly_silent(self, noted: set[str], now_s: float) -> list[tuple[str, float]]:
-        """Return entries that were heard and are no longer, with the time since; adds to `noted`.
+        """Return entries that have become silent, with the time since their last datagram.
 
         Parameters
         ----------
         noted
-            Those that were returned before; those that are heard again are taken out.
+            Silent entries that were returned before. Updated: new ones are added, and those that
+            send again are removed.
         """
         live = {peer.host for peer in self.live(now_s)}
         noted.difference_update(live)
@@ -160,48 +163,54 @@
         """Return the live entries of the own data centre."""
         return [peer for peer in self.live(now_s) if peer.data_centre == self._data_centre]
 
-    def sums(self, now_s: float) -> dict[str, CentreSum]:
-        """Return the sum of each other data centre that tells one, of the most entries."""
-        best: dict[str, CentreSum] = {}
-        for (data_centre, _), told in self._sums.items():
-            if now_s - told.heard_s >= AGED_OUT_S or data_centre == self._data_centre:
+    def sums(self, now_s: float) -> dict[str, DataCentreSum]:
+        """Return each other data centre's sum; with several, the one over the most entries."""
+        best: dict[str, DataCentreSum] = {}
+        for (data_centre, _), received in self._sums.items():
+            if now_s - received.heard_s >= PEER_TIMEOUT_S or data_centre == self._data_centre:
                 continue
             known = best.get(data_centre)
-            rank = (told.hello.entries, told.heard_s)
+            rank = (received.hello.entries, received.heard_s)
             if known is None or rank > (known.hello.entries, known.heard_s):
-                best[data_centre] = told
+                best[data_centre] = received
         return best
 
     def entries(self, now_s: float) -> int:
         """Return the number of live entries, this one included."""
-        of_sums = sum(told.hello.entries for told in self.sums(now_s).values())
-        return 1 + sum(1 for _ in self._single(now_s)) + of_sums
-
-    def told(self, now_s: float) -> list[tuple[Hello, float]]:
-        """Return what counts, each with its age: sums, and what single entries tell."""
-        single = [(peer.hello, now_s - peer.heard_s) for peer in self._single(now_s) if peer.hello]
-        return single + [(told.hello, now_s - told.heard_s) for told in self.sums(now_s).values()]
+        in_sums = sum(received.hello.entries for received in self.sums(now_s).values())
+        return 1 + sum(1 for _ in self._individual_peers(now_s)) + in_sums
+
+    def effective_messages(self, now_s: float) -> list[tuple[Hello, float]]:
+        """Return the messages that count, with their ages: sums and individual entries' own."""
+        single = [
+            (peer.hello, now_s - peer.heard_s)
+            for peer in self._individual_peers(now_s)
+            if peer.hello
+        ]
+        return single + [
+            (received.hello, now_s - received.heard_s) for received in self.sums(now_s).values()
+        ]
 
     def loads(self, now_s: float) -> list[Mapping[int, Work]]:
-        """Return the work that others tell of, by hash of the backend server's id."""
-        return [hello.loads for hello, _ in self.told(now_s)]
+        """Return the work of other entries, by hash of the backend server's id."""
+        return [hello.loads for hello, _ in self.effective_messages(now_s)]
 
     def suspects(self, now_s: float) -> dict[int, float]:
-        """Return what others suspect: seconds left by hash of the backend server's id."""
+        """Return the peers' suspects: remaining seconds by hash of the backend server's id."""
         left: dict[int, float] = {}
-        for hello, age_s in self.told(now_s):
+        for hello, age_s in self.effective_messages(now_s):
             for key, for_s in hello.suspects.items():
                 left[key] = max(left.get(key, 0.0), for_s - age_s)
         return left
 
     def paces(self, now_s: float) -> dict[int, float]:
-        """Return the slow engines that others tell of: pace by hash of the id."""
-        return _highest(hello.paces for hello, _ in self.told(now_s))
+        """Return the slow engines reported by peers: pace by hash of the id."""
+        return _max_by_key(hello.paces for hello, _ in self.effective_messages(now_s))
 
     def others_at_the_store(self, now_s: float) -> list[OtherEntry]:
         """Return the other entries that may watch the store."""
         found: list[OtherEntry] = []
-        for hello, age_s in self.told(now_s):
+        for hello, age_s in self.effective_messages(now_s):
             if hello.entries:
                 found += [
                     watcher._replace(store_age_s=watcher.store_age_s + age_s, way_s=SUM_WAY_S)
@@ -211,60 +220,63 @@
                 found.append(OtherEntry(hello.host, hello.store_age_s + age_s, hello.link_mbps))
         return found
 
-    def hosts_near(self, data_centre: str, now_s: float) -> list[str] | None:
+    def live_hosts_in(self, data_centre: str, now_s: float) -> list[str] | None:
         """Return the live entries of a data centre.
 
-        Those of one that tells its sum aren't known one by one: ``None``.
+        ``None`` if it sends its sum, since its entries aren't known individually then.
         """
         if data_centre in self.sums(now_s):
             return None
-        return [peer.host for peer in self._single(now_s) if peer.data_centre == data_centre]
+        return [
+            peer.host for peer in self._individual_peers(now_s) if peer.data_centre == data_centre
+        ]
 
     def is_relay(self, now_s: float) -> bool:
-        """Return whether this entry tells the sum of its data centre."""
+        """Return whether this entry sends the sum of its data centre."""
         near = map(_member, self.near(now_s))
         return self.has_relay(now_s) and is_first(self._own, near, RELAYS)
 
-    def knows_others(self) -> bool:
+    def has_known_peers(self) -> bool:
         """Return whether the address of another entry is known."""
         return bool(self._peers)
 
     def is_prober(self, now_s: float) -> bool:
-        """Return whether this entry is one of the few that try a lost store often."""
+        """Return whether this entry is one of the few that retry an unavailable store often."""
         if self.has_relay(now_s):
             return self.is_relay(now_s)
         return is_first(self._own, map(_member, self.live(now_s)), PROBERS)
 
     def has_relay(self, now_s: float) -> bool:
-        """Return whether some entry tells the sum of this data centre."""
+        """Return whether some entry sends the sum of this data centre."""
         return not tells_all(self.entries(now_s) - 1)
 
     def receivers(self, now_s: float) -> Receivers:
-        """Return to whom datagrams go.
+        """Return the destinations of datagrams.
 
-        Entries of a data centre that tells no sum are told of this one itself: either all tell all,
-        or nothing is heard from there, and then perhaps nothing of the sum arrives.
+        Entries of a data centre that sends no sum get this entry's own state. Either all entries
+        send to all, or nothing arrives from there; in that case, this data centre's sum may not
+        arrive there either.
         """
         to_all = not self.has_relay(now_s)
-        summed = self.sums(now_s)
+        sums = self.sums(now_s)
         own, far = [], []
         for peer in self._peers.values():
             is_far = peer.data_centre not in ("", self._data_centre)
-            if to_all or not is_far or peer.data_centre not in summed:
+            if to_all or not is_far or peer.data_centre not in sums:
                 own.append(peer.host)
             if is_far:
                 far.append(peer.host)
         return Receivers(tuple(own), tuple(far) if self.is_relay(now_s) else ())
 
     def sum_of_centre(self, own: Hello, own_entry: OtherEntry, now_s: float) -> Hello:
-        """Return what this entry tells of its data centre.
+        """Return the sum of this entry's data centre.
 
         Parameters
         ----------
         own
-            What it tells of itself.
+            This entry's own state.
         own_entry
-            Its own place among those that may watch the store.
+            This entry as a candidate for watching the store.
         now_s
             Present time.
         """
@@ -276,8 +288,8 @@
         ]
         return own._replace(
             entries=1 + len(hellos),
-            loads=_added(hello.loads for hello in (own, *(hello for hello, _ in hellos))),
-            suspects=_highest(
+            loads=_sum_loads(hello.loads for hello in (own, *(hello for hello, _ in hellos))),
+            suspects=_max_by_key(
                 [
                     own.suspects,
                     *(
@@ -286,29 +298,31 @@
                     ),
                 ]
             ),
-            paces=_highest([own.paces, *(hello.paces for hello, _ in hellos)]),
+            paces=_max_by_key([own.paces, *(hello.paces for hello, _ in hellos)]),
             watchers=tuple(watchers([own_entry, *at_the_store])),
         )
 
     def forget_old(self, now_s: float) -> list[str]:
-        """Forget entries that nobody hears or names any more; return them."""
+        """Remove entries that neither send nor are listed any more; return them."""
         oldest_s = now_s - FORGOTTEN_S
-        old = [p.host for p in self._peers.values() if max(p.heard_s, p.named_s) < oldest_s]
+        old = [p.host for p in self._peers.values() if max(p.heard_s, p.address_seen_s) < oldest_s]
         for host in old:
             del self._peers[host]
         self._sums = {
-            key: told for key, told in self._sums.items() if now_s - told.heard_s < AGED_OUT_S
+            key: received
+            for key, received in self._sums.items()
+            if now_s - received.heard_s < PEER_TIMEOUT_S
         }
         return old
 
-    def _single(self, now_s: float) -> Iterator[Peer]:
-        """Return the live entries that no sum contains."""
-        summed = self.sums(now_s)
-        return (peer for peer in self.live(now_s) if peer.data_centre not in summed)
+    def _individual_peers(self, now_s: float) -> Iterator[Peer]:
+        """Return the live entries that aren't covered by a sum."""
+        sums = self.sums(now_s)
+        return (peer for peer in self.live(now_s) if peer.data_centre not in sums)
 
 
-def _is_overtaken(known: Hello | None, hello: Hello) -> bool:
-    """Return whether a datagram was overtaken on the way by a later one."""
+def _is_stale(known: Hello | None, hello: Hello) -> bool:
+    """Return whether a datagram arrives after a later one of the same sender."""
     return known is not None and known.boot_id == hello.boot_id and known.sequence >= hello.sequence
 
 
@@ -318,17 +332,17 @@
     return Member(peer.host, peer.hello.link_mbps, peer.hello.is_stopping)
 
 
-def _highest(figures: Iterable[Mapping[int, float]]) -> dict[int, float]:
+def _max_by_key(mappings: Iterable[Mapping[int, float]]) -> dict[int, float]:
     highest: dict[int, float] = {}
-    for of_one in figures:
-        for key, figure in of_one.items():
-            highest[key] = max(highest.get(key, 0.0), figure)
+    for mapping in mappings:
+        for key, value in mapping.items():
+            highest[key] = max(highest.get(key, 0.0), value)
     return highest
 
 
-def _added(loads: Iterable[Mapping[int, Work]]) -> dict[int, Work]:
+def _sum_loads(loads: Iterable[Mapping[int, Work]]) -> dict[int, Work]:
     by_server: dict[int, list[Work]] = {}
-    for of_one in loads:
-        for key, work in of_one.items():
+    for mapping in loads:
+        for key, work in mapping.items():
             by_server.setdefault(key, []).append(work)
     return {key: add_work(works) for key, works in by_server.items()}
--- a/packages/proxy/src/sassafrastally/proxy/peers.capnp
+++ b/packages/proxy/src/sassafrastally/proxy/peers.capnp
@@ -2,40 +2,40 @@
 @0xd1b0a51e7a3c4f29;
 
 struct Hello {
-  host @0 :Text;              # IP number of the sender
-  bootId @1 :UInt64;          # random, new with each start of the sender
-  sequence @2 :UInt64;        # grows with each datagram of one start
-  revision @3 :UInt64;        # revision of the store that the sender knows
-  confirmedAgeMs @4 :UInt32;  # time since the store itself confirmed it to the sender
+  host @0 :Text;              # IP address of the sender
+  bootId @1 :UInt64;          # random, different after each restart of the sender
+  sequence @2 :UInt64;        # incremented with each datagram, restarts with a new boot id
+  revision @3 :UInt64;        # store revision known to the sender
+  confirmedAgeMs @4 :UInt32;  # time since the revision was last confirmed, by the store or a peer
   isStopping @5 :Bool;
   loads @6 :List(Load);       # the sender's own requests, by backend server
-  peers @7 :List(Text);       # IP numbers of entries that the sender hears
+  peers @7 :List(Text);       # IP addresses of entries from which the sender receives
   suspects @8 :List(Suspect);
-  storeAgeMs @9 :UInt32;      # time since the sender itself had an answer of the store
-  returnedAgeMs @10 :UInt32;  # time since the store last returned from an outage
+  storeAgeMs @9 :UInt32;      # time since the store last answered the sender itself
+  returnedAgeMs @10 :UInt32;  # time since the end of the last store outage
   dataCentre @11 :Text;
   linkMbps @12 :UInt32;       # speed of the sender's link
-  paces @13 :List(Pace);      # engines that the sender's reports show to be slow
-  entries @14 :UInt16;        # 0: of the sender alone; else the sum of that many entries of its data centre
-  watchers @15 :List(Watcher);  # with a sum: those of the data centre that may watch the store
-  crashes @16 :List(Crash);   # servers that crashed lately, and what they ran
-  verdicts @17 :List(Verdict);  # requests that are run no more
-  answers @18 :List(Answer);  # answers to requests under which servers crashed
-  limits @19 :List(Limit);    # requests that servers take from all entries together
+  paces @13 :List(Pace);      # slow engines according to reports to the sender
+  entries @14 :UInt16;        # 0: the sender alone; otherwise aggregated over this many entries of its data centre
+  watchers @15 :List(Watcher);  # in a sum: entries of the data centre that may watch the store
+  crashes @16 :List(Crash);   # recent server crashes and the requests that ran there
+  verdicts @17 :List(Verdict);  # quarantined requests
+  answers @18 :List(Answer);  # answers to requests during which servers crashed
+  limits @19 :List(Limit);    # request rates that servers accept over all entries
 }
 
 struct Limit {
   server @0 :UInt64;          # hash of the backend server's id
-  milliPerSecond @1 :UInt32;  # requests in 1,000 s
-  isEnded @2 :Bool;           # the server no longer names a limit
-  ageMs @3 :UInt32;           # time since the server said so
+  milliPerSecond @1 :UInt32;  # requests per 1,000 s
+  isEnded @2 :Bool;           # the server no longer has a limit
+  ageMs @3 :UInt32;           # time since the server announced it
 }
 
 struct Crash {
   request @0 :UInt64;         # fingerprint of the request
   server @1 :UInt64;          # hash of the backend server's id
   ageMs @2 :UInt32;
-  isPresumed @3 :Bool;        # its end isn't certain yet
+  isPresumed @3 :Bool;        # it isn't certain yet that the server has crashed
 }
 
 struct Verdict {
@@ -57,7 +57,7 @@
 
 struct Delta {
   revision @0 :UInt64;
-  isEverything @1 :Bool;      # all entries, in place of changes
+  isEverything @1 :Bool;      # a full snapshot instead of changes
   items @2 :List(Item);
 }
 
@@ -87,5 +87,5 @@
 
 struct Pace {
   server @0 :UInt64;
-  percent @1 :UInt32;         # time that work takes, of what the engine's figures say
+  percent @1 :UInt32;         # time that work takes, relative to the engine's nominal figures
 }
--- a/packages/proxy/src/sassafrastally/proxy/peers.py
+++ b/packages/proxy/src/sassafrastally/proxy/peers.py
@@ -1,9 +1,10 @@
-"""Entries know each other: load by datagrams, changes by calls.
+"""Gossip between entries: load by UDP datagrams, changes by calls.
 
-Datagrams are sent on each change and at least a few times a second. A peer that goes silent ages
-out, so that the load of an entry that died doesn't hold engines busy. The store holds the
-addresses of the entries, and datagrams name the peers that their sender hears, so that one address
-is enough to find all. Who tells whom follows from `sharing`.
+An entry is one proxy process; its peers are the other entries. Datagrams are sent on each change
+and at least a few times a second. A peer that sends none for a while times out, so that the load of
+a dead entry doesn't keep engines marked as busy. The store holds the entries' addresses, and
+datagrams list the peers from which the sender receives, so that one address is enough to discover
+all. The module `sharing` determines which entries send to which.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 import trio
 
 from sassafrastally.core import Address, Service
-from sassafrastally.proxy.announcing import Announcing
+from sassafrastally.proxy.announcing import AddressRegistration
 from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.calls import CallClient
-from sassafrastally.proxy.catching_up import CatchingUp, Source
+from sassafrastally.proxy.catching_up import ChangeFetcher, Source
 from sassafrastally.proxy.dialect import DocumentInvalid
-from sassafrastally.proxy.limit_news import LimitExchange, NothingLimited
+from sassafrastally.proxy.limit_news import LimitExchange, NullLimitExchange
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import CentreHeard, CentreSilent, PeerHeard, PeerSilent
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
-from sassafrastally.proxy.peer_table import AGED_OUT_S, PeerTable
-from sassafrastally.proxy.quarantine_news import NO_NEWS, NothingQuarantined, QuarantineExchange
+from sassafrastally.proxy.peer_table import PEER_TIMEOUT_S, PeerTable
+from sassafrastally.proxy.quarantine_news import NO_NEWS, NullQuarantineExchange, QuarantineExchange
 from sassafrastally.proxy.sharing import Member, is_news_afar
 from sassafrastally.proxy.watch_duty import OtherEntry
 
@@ -36,27 +37,27 @@
     from sassafrastally.proxy.settings import ProxySettings
     from sassafrastally.proxy.store import Store
 
-MOST_SILENT_S = 0.25
-"""Longest time between two datagrams, and the time between two sums of a data centre."""
+MAX_SEND_INTERVAL_S = 0.25
+"""Maximum time between two datagrams, and between two sums of a data centre."""
 
-LEAST_GAP_S = 0.02
-"""Shortest time between two datagrams: changes within it go together. Shorter than an engine's
-pass, so that peers know what began in the last one."""
+MIN_SEND_INTERVAL_S = 0.02
+"""Minimum time between two datagrams; changes within it are sent together. Shorter than an engine's
+pass, so that peers know of requests that began in the last pass."""
 
-CLOSE_PEERS = 5
-"""With more peers than this the shortest time grows in proportion, so that an entry sends no more
-datagrams a second however many entries there are. More entries mean fewer requests at each, so that
-each one's news is less."""
+PEERS_AT_MIN_INTERVAL = 5
+"""Number of peers up to which `MIN_SEND_INTERVAL_S` applies. With more, the minimum interval grows
+in proportion, so that the number of datagrams per second stays bounded. More entries mean fewer
+requests and thus fewer changes at each."""
 
 NEWS_WAY_S = 0.02
-"""Time from a choice until others have its datagram, beside the time between two datagrams: the way
-and both processes' turn."""
+"""Time from a routing decision until peers have its datagram, in addition to the send interval:
+network latency and scheduling in both processes."""
 
-NAMED_S = 2.0
-"""Time between two datagrams that name the peers. Names make up most of a datagram's bytes and
-rarely change; while they do, each datagram has them."""
+FULL_DATAGRAM_INTERVAL_S = 2.0
+"""Time between two datagrams that list the peers, and between repeats of older quarantine news. The
+list makes up most of a datagram's bytes and rarely changes; a new peer is listed at once."""
 
-DATAGRAM_BYTES = 2048
+RECEIVE_BUFFER_BYTES = 2048
 
 
 class Peers(Service):
@@ -76,30 +77,30 @@
         self._calls: dict[str, CallClient] = {}
         self._sequence = 0
         self._is_stopping = False
-        self._named_s = float("-inf")
-        self._named: set[str] = set()
-        self._told_again_s = float("-inf")
-        self._sum_news = trio.Event()
+        self._peers_listed_s = float("-inf")
+        self._listed_peers: set[str] = set()
+        self._news_repeated_s = float("-inf")
+        self._sum_changed = trio.Event()
         self.own_suspects: Callable[[], dict[int, float]] = dict
-        """Asked for the servers that this entry suspects: seconds left by hash of the id."""
+        """Returns the servers that this entry suspects: remaining seconds by hash of the id."""
         self.own_paces: Callable[[], dict[int, float]] = dict
-        """Asked for the engines that are slow, as this entry has heard itself."""
-        self.quarantine: QuarantineExchange = NothingQuarantined()
-        """What is told and heard of requests under which servers crash."""
-        self.limits: LimitExchange = NothingLimited()
-        """What is told and heard of the requests that servers take."""
+        """Returns the slow engines according to reports to this entry: pace by hash of the id."""
+        self.quarantine: QuarantineExchange = NullQuarantineExchange()
+        """Source and receiver of news about requests during which servers crash."""
+        self.limits: LimitExchange = NullLimitExchange()
+        """Source and receiver of servers' request rate limits."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Open the port and begin to send."""
+        """Bind the UDP port and start the exchange."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
-        self._beliefs.on_news = self._ledger.note_change
+        self._beliefs.on_newer_revision = self._ledger.note_change
         self._boot_id = self.kernel.random.getrandbits(64)
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
         await self._socket.bind((self._settings.host, self._settings.peer_port))
-        self._catching_up = CatchingUp(
-            self.kernel, self._beliefs, self._sources, self._waits_for_near
+        self._change_fetcher = ChangeFetcher(
+            self.kernel, self._beliefs, self._sources, self._defers_to_relays
         )
-        self._announcing = Announcing(
+        self._address_registration = AddressRegistration(
             self.kernel,
             self._settings,
             self._store,
@@ -107,55 +108,58 @@
             self._beliefs,
             self._table,
         )
-        nursery.start_soon(self._catching_up.run)
+        nursery.start_soon(self._change_fetcher.run)
         nursery.start_soon(self._receive)
         nursery.start_soon(self._send)
         nursery.start_soon(self._send_sums)
-        nursery.start_soon(self._announcing.run)
+        nursery.start_soon(self._address_registration.run)
 
     async def stop(self) -> None:
-        """Tell the peers that this entry is leaving."""
+        """Announce to the peers that this entry is stopping."""
         self._is_stopping = True
 
     def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
-        """Take the entries' addresses from all that stands in the store."""
-        self._announcing.note_snapshot(entries)
+        """Read the entries' addresses from a snapshot of the store."""
+        self._address_registration.note_snapshot(entries)
 
     def note_changes(self, events: Sequence[KvEvent]) -> None:
-        """Take the entries' addresses from changes of the store."""
-        self._announcing.note_entries(events)
+        """Read the entries' addresses from changes of the store."""
+        self._address_registration.note_entries(events)
 
-    def knows_others(self) -> bool:
+    def has_known_peers(self) -> bool:
         """Return whether the address of another entry is known."""
-        return self._table.knows_others()
+        return self._table.has_known_peers()
 
     def is_prober(self) -> bool:
-        """Return whether this entry tries a store that answers nobody more often than others."""
+        """Return whether this entry retries an unavailable store more often than others."""
         return self._table.is_prober(self._now_s)
 
     def hears_sums(self) -> bool:
-        """Return whether data centres tell each other sums in place of single entries' work."""
+        """Return whether data centres exchange sums instead of each entry's work."""
         return self._table.has_relay(self._now_s)
 
     def live_count(self) -> int:
-        """Return the number of other live entries."""
+        """Return the number of live peers."""
         return self._table.entries(self._now_s) - 1
 
     @property
     def gap_s(self) -> float:
-        """Shortest time between two datagrams."""
-        return min(MOST_SILENT_S, LEAST_GAP_S * max(1.0, self._told_count() / CLOSE_PEERS))
+        """Minimum time between two datagrams."""
+        return min(
+            MAX_SEND_INTERVAL_S,
+            MIN_SEND_INTERVAL_S * max(1.0, self._receiver_count() / PEERS_AT_MIN_INTERVAL),
+        )
 
-    def hosts_near(self, data_centre: str) -> list[str] | None:
-        """Return the live entries of a data centre; ``None`` when only its sum is heard."""
-        return self._table.hosts_near(data_centre, self._now_s)
+    def live_hosts_in(self, data_centre: str) -> list[str] | None:
+        """Return the live entries of a data centre; ``None`` if only its sum is received."""
+        return self._table.live_hosts_in(data_centre, self._now_s)
 
     def live_hosts(self) -> list[str]:
-        """Return the IP numbers of the peers that tell of themselves."""
+        """Return the IP addresses of the live peers that send datagrams of their own."""
         return [peer.host for peer in self._table.live(self._now_s)]
 
     def members(self) -> set[str]:
-        """Return the IP numbers of all other entries that may send requests."""
+        """Return the IP addresses of all other entries that may send requests to servers."""
         return self._table.members(self._now_s)
 
     def others_at_the_store(self) -> list[OtherEntry]:
@@ -164,7 +168,7 @@
 
     @property
     def own_entry(self) -> OtherEntry:
-        """This entry, as it tells of itself."""
+        """This entry's state as a candidate for watching the store."""
         store_age_s = self._now_s - self._beliefs.store_answered_s
         return OtherEntry(self._settings.host, store_age_s, self._settings.link_mbps)
 
@@ -173,20 +177,20 @@
         return self._table.loads(self._now_s)
 
     def suspects(self) -> dict[int, float]:
-        """Return what others suspect: seconds left by hash of the backend server's id."""
+        """Return the peers' suspects: remaining seconds by hash of the backend server's id."""
         return self._table.suspects(self._now_s)
 
     def paces(self) -> dict[int, float]:
-        """Return the slow engines that others tell of: pace by hash of the id."""
+        """Return the slow engines reported by peers: pace by hash of the id."""
         return self._table.paces(self._now_s)
 
     def tell_at_once(self) -> None:
-        """Tell peers and other data centres without waiting for the next datagram's turn."""
+        """Send updates to peers and other data centres without waiting for the next interval."""
         self._ledger.note_change(is_urgent=True)
-        self._sum_news.set()
+        self._sum_changed.set()
 
     def hello(self) -> Hello:
-        """Return what this entry tells its peers now."""
+        """Return the current state to send to the peers."""
         now_s = self._now_s
         self._sequence += 1
         return Hello(
@@ -215,20 +219,20 @@
 
     @property
     def news_age_s(self) -> float:
-        """How old the latest news of entries nearby is; 0 without any."""
+        """Maximum age of updates from nearby entries; 0 without live peers."""
         return self.gap_s + NEWS_WAY_S if self.live_count() else 0.0
 
-    def _told_count(self) -> int:
-        """Return how many live peers this entry tells of itself."""
+    def _receiver_count(self) -> int:
+        """Return the number of live peers to which this entry sends its own state."""
         live = set(self.live_hosts())
         return sum(1 for host in self._table.receivers(self._now_s).own if host in live)
 
     def _sources(self) -> list[Source]:
-        """Return those that know a newer revision."""
+        """Return the live peers that know a newer revision."""
         own_centre = self._settings.data_centre
         newer = [
             hello
-            for hello, _ in self._table.told(self._now_s)
+            for hello, _ in self._table.effective_messages(self._now_s)
             if hello.revision > self._beliefs.revision
         ]
         return [
@@ -241,7 +245,7 @@
             for hello in newer
         ]
 
-    def _waits_for_near(self) -> bool:
+    def _defers_to_relays(self) -> bool:
         return self._table.has_relay(self._now_s) and not self._table.is_relay(self._now_s)
 
     def _client(self, host: str) -> CallClient:
@@ -250,15 +254,16 @@
         return self._calls[host]
 
     async def _receive(self) -> None:
-        # Closed with this task; left to the garbage collector, its port would be taken for longer.
+        # Closed together with this task: the garbage collector would keep the port in use longer.
         with self._socket:
             while True:
                 try:
-                    data, _ = await self._socket.recvfrom(DATAGRAM_BYTES)
+                    data, _ = await self._socket.recvfrom(RECEIVE_BUFFER_BYTES)
                     self._take(decode_hello(data))
                 except (OSError, DocumentInvalid):
-                    # A port that is closed shows as an error of the next call, and bytes of others
-                    # may arrive here; both say nothing about a peer, which ages out by its silence.
+                    # A peer's closed port is reported as an error of the next call, and unrelated
+                    # datagrams may arrive. Neither gives the state of a peer, which times out when
+                    # it sends nothing.
                     continue
 
     def _take(self, hello: Hello) -> None:
@@ -268,67 +273,69 @@
         if not self._table.take(hello, now_s):
             return
         if hello.data_centre == self._settings.data_centre:
-            self._note_reading(known_loads, hello.loads)
+            self._wake_sums_for_prefill(known_loads, hello.loads)
         self.limits.take(hello.limits, hello.host)
         if hello.quarantine != NO_NEWS and self.quarantine.take(hello.quarantine):
-            self._sum_news.set()
-        if not hello.entries and silent_s > AGED_OUT_S:
+            self._sum_changed.set()
+        if not hello.entries and silent_s > PEER_TIMEOUT_S:
             self.kernel.events.emit(PeerHeard(hello.host, round(min(silent_s, 1e6), 3)))
-        # Known before the changes themselves: entries that lapsed with the store keep their place
-        # for a moment also with those who only hear of it.
+        # Set before the changes are fetched, so that entries that only learn of the outage from
+        # peers also keep servers with expired leases during the grace period.
         returned_s = now_s - hello.returned_age_s
         self._beliefs.store_returned_s = max(self._beliefs.store_returned_s, returned_s)
         if hello.revision > self._beliefs.revision:
-            self._catching_up.note_news()
+            self._change_fetcher.note_newer_revision()
         elif hello.revision == self._beliefs.revision:
             confirmed_s = now_s - hello.confirmed_age_s
             self._beliefs.confirmed_s = max(self._beliefs.confirmed_s, confirmed_s)
 
     async def _send(self) -> None:
         silent: set[str] = set()
-        told_loads: Mapping[int, Work] = {}
+        sent_loads: Mapping[int, Work] = {}
         while True:
             seen, urgent_seen = self._ledger.change_count, self._ledger.urgent_count
-            news = self.quarantine.own_news(is_full=self._tells_again())
-            own = self.hello()._replace(peers=self._names(), quarantine=news)
+            news = self.quarantine.own_news(is_full=self._start_repeat_if_due())
+            own = self.hello()._replace(peers=self._peers_to_list(), quarantine=news)
             await self._send_to(self._table.receivers(self._now_s).own, own)
-            self._note_reading(told_loads, own.loads)
-            told_loads = own.loads
+            self._wake_sums_for_prefill(sent_loads, own.loads)
+            sent_loads = own.loads
             self._note_silent(silent)
             await self._forget_old()
             gap_s = self.gap_s
             with trio.move_on_after(gap_s) as gap:
                 await self._ledger.urgent_since(urgent_seen)
             if gap.cancelled_caught:
-                with trio.move_on_after(MOST_SILENT_S - gap_s):
+                with trio.move_on_after(MAX_SEND_INTERVAL_S - gap_s):
                     await self._ledger.changed_since(seen)
 
     async def _send_sums(self) -> None:
-        """Tell other data centres what this one does, while this entry is its relay."""
-        named_s = float("-inf")
-        heard: set[str] = set()
+        """Send the data centre's sum to other data centres while this entry is its relay."""
+        listed_s = float("-inf")
+        known_centres: set[str] = set()
         while True:
             now_s = self._now_s
             hosts = self._table.receivers(now_s).of_sum
             if hosts:
-                told = self._table.sum_of_centre(self.hello(), self.own_entry, now_s)
-                is_full = now_s - named_s >= NAMED_S
+                message = self._table.sum_of_centre(self.hello(), self.own_entry, now_s)
+                is_full = now_s - listed_s >= FULL_DATAGRAM_INTERVAL_S
                 if is_full:
-                    named_s = now_s
+                    listed_s = now_s
                     near = (peer.host for peer in self._table.near(now_s))
-                    told = told._replace(peers=(self._settings.host, *near))
-                told = told._replace(quarantine=self.quarantine.all_news(is_full=is_full))
-                await self._send_to(hosts, told)
-            heard = self._note_centres(heard)
-            await trio.sleep(LEAST_GAP_S)
-            with trio.move_on_after(MOST_SILENT_S - LEAST_GAP_S):
-                await self._sum_news.wait()
-            self._sum_news = trio.Event()
-
-    def _note_reading(self, known: Mapping[int, Work], told: Mapping[int, Work]) -> None:
-        """Tell other data centres at once of long prompts that begin to be read in this one."""
-        if is_news_afar(known, told):
-            self._sum_news.set()
+                    message = message._replace(peers=(self._settings.host, *near))
+                message = message._replace(quarantine=self.quarantine.all_news(is_full=is_full))
+                await self._send_to(hosts, message)
+            known_centres = self._log_data_centres(known_centres)
+            await trio.sleep(MIN_SEND_INTERVAL_S)
+            with trio.move_on_after(MAX_SEND_INTERVAL_S - MIN_SEND_INTERVAL_S):
+                await self._sum_changed.wait()
+            self._sum_changed = trio.Event()
+
+    def _wake_sums_for_prefill(
+        self, known_loads: Mapping[int, Work], new_loads: Mapping[int, Work]
+    ) -> None:
+        """Send the sum at once if long prompts have begun their prefill in this data centre."""
+        if is_news_afar(known_loads, new_loads):
+            self._sum_changed.set()
 
     async def _send_to(self, hosts: Iterable[str], hello: Hello) -> None:
         data = encode_hello(hello)
@@ -336,23 +343,26 @@
             try:
                 await self._socket.sendto(data, (host, self._settings.peer_port))
             except OSError:
-                # Nobody listens there, or the link is full: the next datagram makes up for it,
-                # and a peer that is really gone ages out.
+                # The port is closed or the send buffer is full: the next datagram replaces this
+                # one, and a dead peer times out.
                 continue
 
-    def _names(self) -> tuple[str, ...]:
-        """Return the peers that the next datagram names; none if it was done lately."""
+    def _peers_to_list(self) -> tuple[str, ...]:
+        """Return the peers to list in the next datagram; empty if all were listed lately."""
         live = set(self.live_hosts())
-        if live <= self._named and self._now_s - self._named_s < NAMED_S:
+        if (
+            live <= self._listed_peers
+            and self._now_s - self._peers_listed_s < FULL_DATAGRAM_INTERVAL_S
+        ):
             return ()
-        self._named, self._named_s = live, self._now_s
+        self._listed_peers, self._peers_listed_s = live, self._now_s
         return tuple(live)
 
-    def _tells_again(self) -> bool:
-        """Return whether the next datagram tells older news again."""
-        is_due = self._now_s - self._told_again_s >= NAMED_S
+    def _start_repeat_if_due(self) -> bool:
+        """Return whether the next datagram repeats older news; if so, restart the interval."""
+        is_due = self._now_s - self._news_repeated_s >= FULL_DATAGRAM_INTERVAL_S
         if is_due:
-            self._told_again_s = self._now_s
+            self._news_repeated_s = self._now_s
         return is_due
 
     async def _forget_old(self) -> None:
@@ -364,12 +374,12 @@
         for host, silent_s in self._table.newly_silent(silent, self._now_s):
             self.kernel.events.emit(PeerSilent(host, round(silent_s, 3)))
 
-    def _note_centres(self, known: set[str]) -> set[str]:
-        """Log which data centres' sums are heard from now on, or no longer; return those heard."""
+    def _log_data_centres(self, known: set[str]) -> set[str]:
+        """Log data centres whose sum starts or stops arriving; return those that arrive."""
         sums = self._table.sums(self._now_s)
         for data_centre in sorted(sums.keys() - known):
-            told = sums[data_centre].hello
-            self.kernel.events.emit(CentreHeard(data_centre, told.host, told.entries))
+            message = sums[data_centre].hello
+            self.kernel.events.emit(CentreHeard(data_centre, message.host, message.entries))
         for data_centre in sorted(known - sums.keys()):
             self.kernel.events.emit(CentreSilent(data_centre))
         return set(sums)
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -1,12 +1,13 @@
-"""Which requests are run no more, because backend servers crash under them.
-
-The load that it answers: one request that crashes whatever runs it. Sent on to a second server, and
-asked again by its caller at other entries, it takes a whole fleet of engines within seconds, with
-all that runs beside it. Nobody can tell from one crash which of the requests on that server was
-the cause, or whether any was. So each entry notes which requests a crashed server ran, entries tell
-each other, and a request is quarantined when several servers have crashed under it and it has never
-brought an answer since. What ran beside it shares a crash or two with it; these no longer count
-once the harmful request explains them.
+"""Quarantine of requests that crash backend servers.
+
+A harmful request (a "query of death") crashes every server that runs it. Through failover to a
+second server and its caller's retries at other entries, it can crash a whole fleet of engines
+within seconds, with all requests that run there. One crash doesn't show which of the requests on
+the server caused it, or whether any did. So each entry records which requests a crashed server ran
+and exchanges these records with the others. A request is quarantined when several servers have
+crashed while running it and it has not been answered since. Requests that ran on the same servers
+share a crash or two with it; these crashes no longer count against them once the harmful request
+explains them.
 """
 
 from __future__ import annotations
@@ -14,93 +15,94 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sassafrastally.proxy.crash_cases import PRESUMED_S, Crash, CrashCases
+from sassafrastally.proxy.crash_cases import PRESUMED_CRASH_KEPT_S, Crash, CrashCases
 from sassafrastally.proxy.quarantine_news import NO_NEWS, QuarantineNews, VerdictNews
 
 CRASHES_FOR_VERDICT = 3
-"""Crashes after which a request is quarantined. Two are common for what runs beside a harmful
-request and is sent on with it; each further one costs a server and all that runs there."""
+"""Crashes after which a request is quarantined. Two are common for requests that run beside a
+harmful one and fail over together with it; each further one costs a server and all requests
+there."""
 
 QUARANTINE_S = 600.0
-"""How long a request is quarantined. A wrong verdict ends by itself within this time; a right one
-that ends costs one more server."""
+"""How long a request is quarantined. A wrong verdict expires within this time; when a right one
+expires, one more server crashes."""
 
-SETTLED_S = 1.0
-"""Time after a verdict from which it explains the crashes of other requests. Until then crashes of
-the same server are still being told, and two requests that were always together can't be told
-apart: both are quarantined, since the one that is let go might be the harmful one."""
+VERDICT_SETTLED_S = 1.0
+"""Time after which a verdict explains the crashes of other requests. Before, records of the same
+crashes may still be arriving. Two requests that always ran together can't be distinguished, so both
+are quarantined: releasing one of them might release the harmful one."""
 
-UNSETTLED_COME_BACK_S = 2.0
-"""When callers come back whose request was quarantined within `SETTLED_S`: by then it is known
-whether other requests explain its crashes."""
+UNSETTLED_RETRY_AFTER_S = 2.0
+"""Retry delay for callers whose request was quarantined less than `VERDICT_SETTLED_S` ago; after
+it, it is known whether other requests explain the crashes."""
 
-FRESH_S = 0.5
-"""News is told with every datagram for this long; who misses these hears it when older news is told
-again."""
+NEWS_FRESH_S = 0.5
+"""How long new records are sent with every datagram; an entry that misses these receives them when
+older records are repeated."""
 
-TOLD_S = 30.0
-"""News is told again now and then for this long, for entries that start or were cut off."""
+NEWS_REPEATED_S = 30.0
+"""How long records are repeated periodically, for entries that start or were cut off."""
 
-LIFTED_S = 10.0
-"""How long a verdict that has ended isn't taken again from entries that haven't heard of it."""
+LIFTED_VERDICT_KEPT_S = 10.0
+"""How long a lifted verdict isn't accepted again from entries that don't know yet that it ended."""
 
-MOST_VERDICTS = 256
-"""Verdicts that are kept, each paid for by three servers; then the one that ends first is dropped.
-"""
+MAX_VERDICTS = 256
+"""Maximum number of verdicts, each of which took three crashed servers; beyond it, the one that
+expires first is dropped."""
 
 NEVER_S = float("inf")
 
-MOST_VERDICTS_TOLD = 12
-"""Verdicts in one datagram; the store has the others."""
+MAX_VERDICTS_SENT = 12
+"""Maximum number of verdicts in one datagram; the store holds the others."""
 
 
 class Verdict(NamedTuple):
-    """A request that is run no more."""
+    """Decision to quarantine a request."""
 
     fingerprint: int
     since_s: float
     until_s: float
     crashes: int
-    """Servers that crashed under it."""
+    """Servers that crashed while running it."""
     is_presumed: bool = False
-    """Whether it follows from crashes that aren't certain yet."""
+    """Whether it is based on crashes that aren't certain yet."""
 
     def come_back_after_s(self, now_s: float) -> float:
-        """Return when its caller should come back: soon while others may still explain it."""
-        if now_s - self.since_s < SETTLED_S:
-            return UNSETTLED_COME_BACK_S
+        """Return when its caller should retry: soon while other requests may still explain it."""
+        if now_s - self.since_s < VERDICT_SETTLED_S:
+            return UNSETTLED_RETRY_AFTER_S
         return self.until_s - now_s
 
 
 class Lifted(NamedTuple):
-    """A verdict that has ended without a request of this entry having a part in it."""
+    """A verdict that ended by expiry or review, not by an answer that this entry received."""
 
     verdict: Verdict
     reason: str
 
 
 class Quarantine:
-    """Verdicts, and the crashes that they follow from."""
+    """Verdicts and the crashes on which they are based."""
 
     def __init__(self) -> None:
         self._cases = CrashCases()
         self._verdicts: dict[int, Verdict] = {}
         self._ended: dict[int, Verdict] = {}
-        """Verdicts that have ended: of these one more crash is enough."""
+        """Ended verdicts, by fingerprint; one more crash quarantines these requests again."""
         self._lifted: list[Lifted] = []
-        """Not yet asked for."""
+        """Ended verdicts not yet returned by `forget_old`."""
         self._lifted_s: dict[int, float] = {}
         self._verdict_count = 0
         self._review_due_s = NEVER_S
         self._next_end_s = NEVER_S
-        """No verdict ends before; looked at with each request."""
+        """No verdict expires before this time; checked with each request."""
 
     def __len__(self) -> int:
         return len(self._verdicts)
 
     @property
     def version(self) -> int:
-        """Grows with each crash, answer and verdict that is new."""
+        """Counter, incremented with each new crash, answer and verdict."""
         return self._cases.version + self._verdict_count
 
     def verdict(self, fingerprint: int, now_s: float) -> Verdict | None:
@@ -116,14 +118,14 @@
         return list(self._verdicts.values())
 
     def crashes_under(self, fingerprint: int, now_s: float) -> int:
-        """Return how many crashes speak against a request."""
-        return self._crashes(fingerprint, now_s, is_certain=False)
+        """Return how many crashes count against a request."""
+        return self._count_crashes(fingerprint, now_s, is_certain=False)
 
     def suspects_with(self, fingerprint: int, now_s: float) -> dict[int, int]:
-        """Return the crashes of a request and of those that were on the same crashed servers."""
+        """Return crash counts of a request and of those that ran on the same crashed servers."""
         crashes = {
             other: self.crashes_under(other, now_s)
-            for other in self._cases.beside(fingerprint)
+            for other in self._cases.requests_beside(fingerprint)
             if other not in self._verdicts
         }
         suspects = {other: count for other, count in crashes.items() if count}
@@ -139,103 +141,105 @@
         is_own: bool,
         is_presumed: bool = False,
     ) -> Verdict | None:
-        """Note that a server crashed while it ran a request; return the verdict if that brings one.
+        """Record that a server crashed while it ran a request; return a new verdict, if any.
 
         Parameters
         ----------
         fingerprint
             The request.
         server
-            Hash of the server's life.
+            Hash of the server's incarnation.
         now_s
             Present time.
         age_s
-            How long ago it was.
+            Time since the crash.
         is_own
-            Whether this entry has seen it itself.
+            Whether this entry has observed it itself.
         is_presumed
-            Whether the server's end isn't certain yet.
+            Whether it isn't certain yet that the server has crashed.
         """
         crash = Crash(now_s - age_s, now_s, is_own, is_presumed)
         if not self._cases.note_crash(fingerprint, server, crash):
             return None
         self._end_verdicts(now_s)
-        self._cases.keep_few(lambda key: key == fingerprint or key in self._verdicts)
+        self._cases.evict_excess(lambda key: key == fingerprint or key in self._verdicts)
         known = self._verdicts.get(fingerprint)
         if known is not None and not known.is_presumed:
             self._lift_refuted(known, now_s)
             return None
         enough = 1 if fingerprint in self._ended else CRASHES_FOR_VERDICT
-        certain = self._crashes(fingerprint, now_s, is_certain=True)
+        certain = self._count_crashes(fingerprint, now_s, is_certain=True)
         if certain >= enough:
             return self._quarantine(fingerprint, now_s, QUARANTINE_S, certain)
         presumed = self.crashes_under(fingerprint, now_s)
         if known is not None or presumed < enough:
             return None
-        return self._quarantine(fingerprint, now_s, PRESUMED_S, presumed, is_presumed=True)
+        return self._quarantine(
+            fingerprint, now_s, PRESUMED_CRASH_KEPT_S, presumed, is_presumed=True
+        )
 
     def note_answered(self, fingerprint: int, now_s: float) -> bool:
-        """Note that a request brought a whole answer; return whether crashes spoke against it."""
+        """Record a complete answer to a request; return whether it had crashes or a verdict."""
         self._cases.note_own_answer(fingerprint, now_s)
         if fingerprint not in self._cases and fingerprint not in self._verdicts:
             return False
-        self._take_answer(fingerprint, now_s, now_s)
+        self._apply_answer(fingerprint, now_s, now_s)
         return True
 
-    def take_verdict(self, told: VerdictNews, now_s: float) -> Verdict | None:
-        """Take a verdict that others tell of; return it if it is new.
+    def apply_verdict(self, received: VerdictNews, now_s: float) -> Verdict | None:
+        """Apply a verdict received from another entry; return it if it is new.
 
-        Of one that is known the earlier end counts: those who learn it from the store don't know
-        how long it has been in force.
+        For a known verdict the earlier expiry counts: an entry that read it from the store doesn't
+        know how long it has been in force.
         """
-        left_s = min(told.left_s, QUARANTINE_S)
-        known = self.verdict(told.fingerprint, now_s)
+        left_s = min(received.left_s, QUARANTINE_S)
+        known = self.verdict(received.fingerprint, now_s)
         if known is not None and not known.is_presumed:
             until_s = min(known.until_s, now_s + left_s)
-            self._verdicts[told.fingerprint] = known._replace(until_s=until_s)
+            self._verdicts[received.fingerprint] = known._replace(until_s=until_s)
             self._next_end_s = min(self._next_end_s, until_s)
             return None
-        lifted_s = self._lifted_s.get(told.fingerprint, float("-inf"))
-        if left_s <= 0 or now_s - lifted_s < LIFTED_S:
+        lifted_s = self._lifted_s.get(received.fingerprint, float("-inf"))
+        if left_s <= 0 or now_s - lifted_s < LIFTED_VERDICT_KEPT_S:
             return None
-        if self._is_refuted(told.fingerprint, told.crashes, now_s):
+        if self._is_refuted(received.fingerprint, received.crashes, now_s):
             return None
-        return self._quarantine(told.fingerprint, now_s, left_s, told.crashes)
+        return self._quarantine(received.fingerprint, now_s, left_s, received.crashes)
 
     def lift(self, fingerprint: int, now_s: float) -> bool:
-        """End a verdict before its time; return whether there was one.
+        """End a verdict before it expires; return whether there was one.
 
-        As with one whose time is over, one more crash brings it back.
+        As after expiry, one more crash quarantines the request again.
         """
         verdict = self.verdict(fingerprint, now_s)
         if verdict is not None:
             self._end(verdict, now_s)
         return verdict is not None
 
-    def news(self, now_s: float, *, is_full: bool, is_of_all: bool = False) -> QuarantineNews:
-        """Return what to tell the peers.
+    def news(self, now_s: float, *, is_full: bool, includes_peers: bool = False) -> QuarantineNews:
+        """Return the records to send to the peers.
 
         Parameters
         ----------
         now_s
             Present time.
         is_full
-            Whether older news is told again.
-        is_of_all
-            Whether to tell also what others have told, on behalf of a data centre.
+            Whether to repeat older records.
+        includes_peers
+            Whether to include records received from peers, on behalf of a data centre.
         """
-        told_s = TOLD_S if is_full else FRESH_S
+        max_age_s = NEWS_REPEATED_S if is_full else NEWS_FRESH_S
         news = QuarantineNews(
-            self._cases.crash_news(now_s, told_s, is_of_all=is_of_all),
+            self._cases.crash_news(now_s, max_age_s, includes_peers=includes_peers),
             self._verdict_news(now_s, is_full),
-            self._cases.answer_news(now_s, told_s, is_of_all=is_of_all),
+            self._cases.answer_news(now_s, max_age_s, includes_peers=includes_peers),
         )
         return news if any(news) else NO_NEWS
 
     def take(self, news: QuarantineNews, now_s: float) -> list[Verdict]:
-        """Take what a peer tells; return the verdicts that are new."""
+        """Apply the records received from a peer; return the new verdicts."""
         for answer in news.answers:
-            self._take_answer(answer.fingerprint, now_s - answer.age_s, now_s)
+            self._apply_answer(answer.fingerprint, now_s - answer.age_s, now_s)
         found = [
             self.note_crash(
                 crash.fingerprint,
@@ -247,17 +251,17 @@
             )
             for crash in news.crashes
         ]
-        found += [self.take_verdict(told, now_s) for told in news.verdicts]
+        found += [self.apply_verdict(received, now_s) for received in news.verdicts]
         return [verdict for verdict in found if verdict is not None]
 
     def forget_old(self, now_s: float) -> list[Lifted]:
-        """Forget crashes that count no more; return the verdicts that have ended since then."""
+        """Drop crashes that no longer count; return the verdicts ended since the last call."""
         self._end_verdicts(now_s)
         self._cases.forget_old(now_s)
         lifted, self._lifted = self._lifted, []
         return lifted
 
-    def _crashes(self, fingerprint: int, now_s: float, *, is_certain: bool) -> int:
+    def _count_crashes(self, fingerprint: int, now_s: float, *, is_certain: bool) -> int:
         if fingerprint not in self._cases:
             return 0
         return self._cases.count(
@@ -279,9 +283,9 @@
         verdict = Verdict(fingerprint, now_s, now_s + for_s, crashes, is_presumed)
         self._verdicts[fingerprint] = verdict
         self._verdict_count += 1
-        self._review_due_s = now_s + SETTLED_S
+        self._review_due_s = now_s + VERDICT_SETTLED_S
         self._next_end_s = min(self._next_end_s, verdict.until_s)
-        if len(self._verdicts) > MOST_VERDICTS:
+        if len(self._verdicts) > MAX_VERDICTS:
             del self._verdicts[min(self._verdicts.values(), key=_until_s).fingerprint]
         return verdict
 
@@ -290,7 +294,7 @@
             ended = [verdict for verdict in self._verdicts.values() if now_s >= verdict.until_s]
             for verdict in ended:
                 self._end(verdict, now_s)
-                reason = "no crash was confirmed" if verdict.is_presumed else "its time is over"
+                reason = "no crash was confirmed" if verdict.is_presumed else "it expired"
                 self._lifted.append(Lifted(verdict, reason))
             ends_s = (verdict.until_s for verdict in self._verdicts.values())
             self._next_end_s = min(ends_s, default=NEVER_S)
@@ -299,19 +303,19 @@
             self._review(now_s)
 
     def _review(self, now_s: float) -> None:
-        """Lift verdicts all of whose crashes others explain.
+        """Lift verdicts whose crashes are all explained by other verdicts.
 
-        While several harmful requests crash servers in turn, a good one may meet three of these
-        crashes before any of the causes is known. Those that alone explain some crash are causes;
-        what they don't leave unexplained needs no further one.
+        While several harmful requests crash servers in turn, a good one may be involved in three of
+        these crashes before any cause is known. A request that is the only quarantined one on some
+        crashed server is a cause. A verdict is lifted if causes explain all of its crashes.
         """
         servers = {key: self._cases.servers(key) for key in self._verdicts}
-        explained_by = Counter(server for of_one in servers.values() for server in of_one)
+        explained_by = Counter(server for crashed in servers.values() for server in crashed)
         causes = {
             key
-            for key, of_one in servers.items()
+            for key, crashed in servers.items()
             if not self._verdicts[key].is_presumed
-            and any(explained_by[server] == 1 for server in of_one)
+            and any(explained_by[server] == 1 for server in crashed)
         }
         explained = {server for key in causes for server in servers[key]}
         for key, verdict in list(self._verdicts.items()):
@@ -325,42 +329,44 @@
         if verdict.is_presumed:
             return
         self._ended[verdict.fingerprint] = verdict
-        if len(self._ended) > MOST_VERDICTS:
+        if len(self._ended) > MAX_VERDICTS:
             del self._ended[next(iter(self._ended))]
         self._note_lifted(verdict.fingerprint, now_s)
 
     def _note_lifted(self, fingerprint: int, now_s: float) -> None:
-        """Remember that a verdict has ended, for as long as others may still tell of it."""
+        """Remember that a verdict has ended while peers may still send it."""
         self._lifted_s = {
-            key: at_s for key, at_s in self._lifted_s.items() if now_s - at_s < LIFTED_S
+            key: at_s
+            for key, at_s in self._lifted_s.items()
+            if now_s - at_s < LIFTED_VERDICT_KEPT_S
         }
         self._lifted_s[fingerprint] = now_s
 
     def _is_explained(self, server: int, fingerprint: int, now_s: float) -> bool:
-        """Return whether a harmful request ran on a server that crashed under another one."""
+        """Return whether another, harmful request ran on a server when it crashed."""
         return any(
             verdict.fingerprint != fingerprint
             and not verdict.is_presumed
-            and now_s - verdict.since_s >= SETTLED_S
+            and now_s - verdict.since_s >= VERDICT_SETTLED_S
             and self._cases.has_crashed(server, verdict.fingerprint)
             for verdicts in (self._verdicts, self._ended)
             for verdict in verdicts.values()
         )
 
     def _is_refuted(self, fingerprint: int, crashes: int, now_s: float) -> bool:
-        """Return whether a verdict wouldn't be given by what is known here of all its crashes.
+        """Return whether the crashes of a verdict are known here and too few to justify it.
 
-        An entry that never had an answer to a request counts the servers of a rack one by one; one
-        that had knows that they count once.
+        An entry without an answer to the request counts each crashed server of a rack. An entry
+        with one counts them once.
         """
         if not self._cases.was_answered(fingerprint):
             return False
         is_all_known = len(self._cases.servers(fingerprint)) >= crashes
         return is_all_known and self.crashes_under(fingerprint, now_s) < CRASHES_FOR_VERDICT
 
-    def _take_answer(self, fingerprint: int, at_s: float, now_s: float) -> None:
-        """Take an answer: a request that crashes what runs it brings none."""
-        if not self._cases.take_answer(fingerprint, at_s, now_s):
+    def _apply_answer(self, fingerprint: int, at_s: float, now_s: float) -> None:
+        """Apply an answer, which clears the request: a harmful one is never answered."""
+        if not self._cases.apply_answer(fingerprint, at_s, now_s):
             return
         self._ended.pop(fingerprint, None)
         verdict = self._verdicts.get(fingerprint)
@@ -383,9 +389,9 @@
         found = [
             verdict
             for verdict in self.verdicts(now_s)
-            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < FRESH_S)
+            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < NEWS_FRESH_S)
         ]
-        latest = sorted(found, key=lambda verdict: -verdict.since_s)[:MOST_VERDICTS_TOLD]
+        latest = sorted(found, key=lambda verdict: -verdict.since_s)[:MAX_VERDICTS_SENT]
         return tuple(
             VerdictNews(one.fingerprint, one.until_s - now_s, one.crashes) for one in latest
         )
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_news.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_news.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests under which backend servers crash."""
+"""Exchange between entries of requests during which backend servers crash."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
     fingerprint: int
     server: int
-    """Hash of the server's life."""
+    """Hash of the server's incarnation."""
     age_s: float
     is_presumed: bool = False
-    """Whether the server's end isn't certain yet."""
+    """Whether it isn't certain yet that the server has crashed."""
 
 
 class VerdictNews(NamedTuple):
@@ -22,18 +22,18 @@
     fingerprint: int
     left_s: float
     crashes: int
-    """Servers that crashed under it."""
+    """Servers that crashed while running it."""
 
 
 class AnswerNews(NamedTuple):
-    """A request under which servers crashed has brought an answer."""
+    """A request during which servers crashed has been answered."""
 
     fingerprint: int
     age_s: float
 
 
 class QuarantineNews(NamedTuple):
-    """What entries tell each other of harmful requests."""
+    """Records about harmful requests sent to peers."""
 
     crashes: tuple[CrashNews, ...] = ()
     verdicts: tuple[VerdictNews, ...] = ()
@@ -44,23 +44,23 @@
 
 
 class QuarantineExchange(Protocol):
-    """What entries tell each other of harmful requests, as the exchange of datagrams sees it."""
+    """Source and receiver of quarantine records for the datagram exchange."""
 
     def own_news(self, *, is_full: bool) -> QuarantineNews:
-        """Return what this entry has seen itself; with older news if `is_full`."""
+        """Return the records that this entry has made itself; if `is_full`, older ones too."""
         ...
 
     def all_news(self, *, is_full: bool) -> QuarantineNews:
-        """Return also what others have told, on behalf of a data centre."""
+        """Return all records, those of peers included, on behalf of a data centre."""
         ...
 
     def take(self, news: QuarantineNews) -> bool:
-        """Take what a peer tells; return whether other data centres should hear of it at once."""
+        """Apply a peer's records; return whether to forward them to other data centres at once."""
         ...
 
 
-class NothingQuarantined:
-    """Stands in until the quarantine has started."""
+class NullQuarantineExchange:
+    """Placeholder until the quarantine has started; sends and records nothing."""
 
     def own_news(self, *, is_full: bool) -> QuarantineNews:
         """Return no news."""
@@ -71,5 +71,5 @@
         return NO_NEWS
 
     def take(self, news: QuarantineNews) -> bool:
-        """Leave it: it is told again."""
+        """Ignore the records; the peers repeat them."""
         return False
--- a/packages/proxy/src/sassafrastally/proxy/quarantining.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantining.py
@@ -1,4 +1,4 @@
-"""Keeps harmful requests from backend servers: told to peers, recorded in the store, logged."""
+"""Service that quarantines harmful requests and shares verdicts with peers and the store."""
 
 from __future__ import annotations
 
@@ -30,22 +30,24 @@
     from sassafrastally.proxy.model import BackendServer
     from sassafrastally.proxy.store import Store
 
-OTHERS_WRITE_AFTER_S = 2.0
-OTHERS_WRITE_OVER_S = 4.0
-"""When entries that were only told of a verdict record it, if nobody has: the one that saw the last
-crash may have died. Spread, so that the first one's record reaches the others before they write."""
+PEER_VERDICT_WRITE_DELAY_S = 2.0
+PEER_VERDICT_WRITE_JITTER_S = 4.0
+"""Delay and jitter after which an entry records a verdict received from a peer if none is recorded
+yet: the entry that observed the last crash may have died. With the jitter, the first record reaches
+the other entries before they write."""
 
 RETRY_S = 2.0
-"""Pause after a call of the store that failed; a record serves entries that start later."""
+"""Retry delay after a failed store call. Records only serve entries that start later, so there is
+no hurry."""
 
-TIDY_S = 5.0
-"""Time between two rounds that end verdicts and forget crashes."""
+CLEANUP_INTERVAL_S = 5.0
+"""Time between two runs that expire verdicts and drop old crashes."""
 
-LEAST_RECORDED_S = 5.0
-"""A verdict that ends sooner isn't recorded any more."""
+MIN_RECORD_S = 5.0
+"""Verdicts with less time left aren't recorded."""
 
 ANY_REVISION = -1
-NOT_THERE = 0
+KEY_ABSENT = 0
 
 
 class Quarantining(Service):
@@ -54,9 +56,9 @@
     Parameters
     ----------
     dialect
-        Where records lie.
+        Defines the key prefix of records.
     store
-        Keeps verdicts for entries that start.
+        Keeps verdicts for entries that start later.
     """
 
     name: ClassVar[str] = "quarantine"
@@ -65,45 +67,45 @@
     def __init__(self, dialect: Dialect, store: Store) -> None:
         self._prefix = dialect.keys.quarantine_prefix
         self._store = store
-        self._known = Quarantine()
+        self._quarantine = Quarantine()
         self._due_s: dict[int, float] = {}
-        """When to record each verdict that isn't recorded yet."""
+        """When to write or remove the record of each request, by fingerprint."""
         self._news = trio.Event()
         self.on_verdict: Callable[[int], None] | None = None
         """Called with the fingerprint of each request that is quarantined."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Take part in the exchange with peers and the store."""
+        """Load the records from the store and register with the peer exchange."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         self._peers = self.kernel.get("peers", Peers)
         self._peers.quarantine = self
-        self._beliefs.on_quarantine_record = self._take_record
+        self._beliefs.on_quarantine_record = self._apply_record
         for record in self._beliefs.quarantine_records():
-            self._take_record(record)
+            self._apply_record(record)
         nursery.start_soon(self._record)
-        nursery.start_soon(self._tidy)
+        nursery.start_soon(self._clean_up)
 
     @property
     def count(self) -> int:
-        """Requests that are quarantined."""
-        return len(self._known)
+        """Number of quarantined requests."""
+        return len(self._quarantine)
 
     def verdict(self, fingerprint: int) -> Verdict | None:
         """Return the verdict on a request, if one is in force."""
-        return self._known.verdict(fingerprint, self._now_s)
+        return self._quarantine.verdict(fingerprint, self._now_s)
 
     def crashes_under(self, fingerprint: int) -> int:
-        """Return how many crashes speak against a request."""
-        return self._known.crashes_under(fingerprint, self._now_s)
+        """Return how many crashes count against a request."""
+        return self._quarantine.crashes_under(fingerprint, self._now_s)
 
     @property
     def news_age_s(self) -> float:
-        """How long it takes until the entries nearby have told each other of a crash."""
+        """Maximum time until nearby entries know of each other's crash records."""
         return self._peers.news_age_s
 
     def suspects_with(self, fingerprint: int) -> dict[int, int]:
-        """Return the crashes of a request and of those that were on the same crashed servers."""
-        return self._known.suspects_with(fingerprint, self._now_s)
+        """Return crash counts of a request and of those that ran on the same crashed servers."""
+        return self._quarantine.suspects_with(fingerprint, self._now_s)
 
     def note_crash(
         self,
@@ -113,8 +115,8 @@
         age_s: float = 0.0,
         is_presumed: bool = False,
     ) -> None:
-        """Note that a server crashed while it ran a request for this entry."""
-        verdict = self._known.note_crash(
+        """Record that a server crashed while it ran a request of this entry."""
+        verdict = self._quarantine.note_crash(
             fingerprint,
             server_hash(server.life_id),
             self._now_s,
@@ -127,39 +129,41 @@
         self._peers.tell_at_once()
 
     def note_answered(self, fingerprint: int) -> None:
-        """Note that a request brought a whole answer."""
+        """Record that a request got a complete answer."""
         was_quarantined = self.verdict(fingerprint) is not None
-        if not self._known.note_answered(fingerprint, self._now_s):
+        if not self._quarantine.note_answered(fingerprint, self._now_s):
             return
         self._peers.tell_at_once()
         if was_quarantined and self.verdict(fingerprint) is None:
             self._note_lifted(fingerprint, "a server answered it")
 
     def own_news(self, *, is_full: bool) -> QuarantineNews:
-        """Return what this entry has seen itself."""
-        return self._known.news(self._now_s, is_full=is_full)
+        """Return the records that this entry has made itself."""
+        return self._quarantine.news(self._now_s, is_full=is_full)
 
     def all_news(self, *, is_full: bool) -> QuarantineNews:
-        """Return also what others have told."""
-        return self._known.news(self._now_s, is_full=is_full, is_of_all=True)
+        """Return all records, those of peers included."""
+        return self._quarantine.news(self._now_s, is_full=is_full, includes_peers=True)
 
     def take(self, news: QuarantineNews) -> bool:
-        """Take what a peer tells; return whether something is new."""
-        before = self._known.version
-        quarantined = {verdict.fingerprint for verdict in self._known.verdicts(self._now_s)}
-        for verdict in self._known.take(news, self._now_s):
-            self._note_verdict(verdict, "peer", self._others_due_s())
+        """Apply a peer's records; return whether any of them is new."""
+        before = self._quarantine.version
+        quarantined = {verdict.fingerprint for verdict in self._quarantine.verdicts(self._now_s)}
+        for verdict in self._quarantine.take(news, self._now_s):
+            self._note_verdict(verdict, "peer", self._peer_verdict_due_s())
         for answer in news.answers:
             if answer.fingerprint in quarantined and self.verdict(answer.fingerprint) is None:
                 self._note_lifted(answer.fingerprint, "a server answered it for a peer")
-        return self._known.version != before
+        return self._quarantine.version != before
 
     @property
     def _now_s(self) -> float:
         return self.kernel.clock.now_s()
 
-    def _others_due_s(self) -> float:
-        wait_s = OTHERS_WRITE_AFTER_S + OTHERS_WRITE_OVER_S * self.kernel.random.random()
+    def _peer_verdict_due_s(self) -> float:
+        wait_s = (
+            PEER_VERDICT_WRITE_DELAY_S + PEER_VERDICT_WRITE_JITTER_S * self.kernel.random.random()
+        )
         return self._now_s + wait_s
 
     def _note_verdict(self, verdict: Verdict, source: str, due_s: float) -> None:
@@ -175,53 +179,53 @@
     def _note_lifted(self, fingerprint: int, reason: str) -> None:
         self._due_s.pop(fingerprint, None)
         self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
-        if self._beliefs.is_recorded(self._key(fingerprint)):
-            self._due_s[fingerprint] = self._others_due_s()
+        if self._beliefs.has_key(self._key(fingerprint)):
+            self._due_s[fingerprint] = self._peer_verdict_due_s()
             self._news.set()
 
     def _key(self, fingerprint: int) -> str:
         return self._prefix + fingerprint_text(fingerprint)
 
-    def _take_record(self, record: KvEntry | KvEvent) -> None:
-        """Take a verdict from the store, or its end there by its lease or by an operator."""
+    def _apply_record(self, record: KvEntry | KvEvent) -> None:
+        """Apply a verdict record, or its removal by lease expiry or by an operator."""
         try:
             fingerprint = parse_fingerprint(record.key.removeprefix(self._prefix))
-            crashes = 0 if record.value is None else _crashes(record.value)
+            crashes = 0 if record.value is None else _parse_crashes(record.value)
         except ValueError as cause:
             self.kernel.events.emit(
                 DocumentRejected(record.key, record.mod_revision, "store", f"{cause!r:.200}")
             )
             return
         if record.value is None:
-            if self._known.lift(fingerprint, self._now_s):
+            if self._quarantine.lift(fingerprint, self._now_s):
                 self._due_s.pop(fingerprint, None)
-                reason = "its record in the store has ended"
+                reason = "its record in the store was removed"
                 self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
             return
-        told = VerdictNews(fingerprint, QUARANTINE_S, crashes)
-        verdict = self._known.take_verdict(told, self._now_s)
+        received = VerdictNews(fingerprint, QUARANTINE_S, crashes)
+        verdict = self._quarantine.apply_verdict(received, self._now_s)
         if verdict is not None:
             self._note_verdict(verdict, "store", self._now_s)
 
     async def _record(self) -> None:
-        """Write verdicts to the store, and remove those that an answer has lifted."""
+        """Write verdict records to the store when due, and remove those of lifted verdicts."""
         while True:
             self._news = trio.Event()
             if not self._due_s:
                 await self._news.wait()
-                continue  # What was due may have ended before this task had its turn.
+                continue  # The due record may have been cancelled in the meantime.
             fingerprint, due_s = min(self._due_s.items(), key=lambda item: item[1])
             with trio.move_on_after(max(0.0, due_s - self._now_s)):
                 await self._news.wait()
                 continue
             if self._due_s.pop(fingerprint, None) is not None:
-                await self._record_one(fingerprint)
+                await self._sync_record(fingerprint)
 
-    async def _record_one(self, fingerprint: int) -> None:
+    async def _sync_record(self, fingerprint: int) -> None:
         key = self._key(fingerprint)
         verdict = self.verdict(fingerprint)
-        is_wanted = verdict is not None
-        if is_wanted == self._beliefs.is_recorded(key):
+        should_exist = verdict is not None
+        if should_exist == self._beliefs.has_key(key):
             return
         try:
             if verdict is None:
@@ -229,7 +233,7 @@
             else:
                 await self._write(key, verdict)
         except KvConflict:
-            return  # Another entry was first.
+            return  # Another entry has already written it.
         except (KvUnavailable, MaybeApplied, LeaseLost) as cause:
             self.kernel.events.emit(
                 QuarantineNotRecorded(fingerprint_text(fingerprint), str(cause))
@@ -239,29 +243,29 @@
 
     async def _write(self, key: str, verdict: Verdict) -> None:
         left_s = verdict.until_s - self._now_s
-        if left_s < LEAST_RECORDED_S:
+        if left_s < MIN_RECORD_S:
             return
         lease_id = await self._store.grant_lease(left_s)
         record = {"crashes": verdict.crashes, "seen_by": self.kernel.vm}
         value = json.dumps(record).encode()
-        await self._store.write([KvWrite(key, value, NOT_THERE, lease_id)])
+        await self._store.write([KvWrite(key, value, KEY_ABSENT, lease_id)])
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         while True:
-            await trio.sleep(TIDY_S)
-            for lifted in self._known.forget_old(self._now_s):
+            await trio.sleep(CLEANUP_INTERVAL_S)
+            for lifted in self._quarantine.forget_old(self._now_s):
                 self._note_lifted(lifted.verdict.fingerprint, lifted.reason)
-            for verdict in self._known.verdicts(self._now_s):
-                # An outage of the store may have ended the record's lease before its time.
-                if not self._beliefs.is_recorded(self._key(verdict.fingerprint)):
-                    self._due_s.setdefault(verdict.fingerprint, self._others_due_s())
+            for verdict in self._quarantine.verdicts(self._now_s):
+                # The record's lease may have expired early during a store outage.
+                if not self._beliefs.has_key(self._key(verdict.fingerprint)):
+                    self._due_s.setdefault(verdict.fingerprint, self._peer_verdict_due_s())
                     self._news.set()
 
 
-def _crashes(value: bytes) -> int:
-    """Return how many servers had crashed, of a record; raises `ValueError`."""
+def _parse_crashes(value: bytes) -> int:
+    """Return the crash count of a record; raises `ValueError`."""
     body: Any = json.loads(value)
     crashes = body.get("crashes") if isinstance(body, dict) else None
     if isinstance(crashes, bool) or not isinstance(crashes, int) or not 0 <= crashes < 1 << 16:
-        raise ValueError("no number of crashes")
+        raise ValueError("crashes is missing or not an integer from 0 to 65535")
     return crashes
--- a/packages/proxy/src/sassafrastally/proxy/report_duty.py
+++ b/packages/proxy/src/sassafrastally/proxy/report_duty.py
@@ -1,7 +1,7 @@
-"""Which engines a process asks for their reports, and how often.
+"""Assignment of engines to the entries that poll them for reports, and the polling interval.
 
-The load that it answers: many entries before many engines. If each asked all, reports would cost
-more than they bring; so each engine is asked by one entry, which tells the others what is slow.
+With many entries and many engines, polling every engine from every entry would cost more than the
+reports are worth. Each engine is polled by one entry, which tells the others if it is slow.
 """
 
 from __future__ import annotations
@@ -16,25 +16,26 @@
     from collections.abc import Iterable
 
 REPORT_INTERVAL_S = 1.0
-"""Time between two reports of an engine, to all entries together. A report costs as much as two
-connections; at one a second they cost a thousandth of what the requests are worth."""
+"""Time between two reports of an engine, over all entries. A report costs as much as two
+connections; one per second costs a thousandth of the value of the requests."""
 
 SLOW_INTERVAL_S = 0.5
-"""Time between two reports of a slow engine, so that one that has recovered is used again soon."""
+"""Time between two reports of a slow engine, so that it is used again soon after it recovers."""
 
 DOUBTED_INTERVAL_S = 0.3
-"""Time between two reports of an engine on which a late first event waits: what a report says is
-some hundred milliseconds old, so that asking more often brings nothing new."""
+"""Time between two reports of an engine with an overdue first event. A report's data is a few
+hundred milliseconds old, so shorter intervals give no new information."""
 
 
-LIMITED_SHARE = 0.1
-"""Share of the requests that a limited engine takes that are spent on its reports."""
+REPORT_SHARE_OF_LIMIT = 0.1
+"""Share of a rate-limited engine's requests that is used for its reports."""
 
 
 def has_report_duty(life_id: str, own_host: str, hosts: Iterable[str] | None) -> bool:
-    """Return whether this entry asks an engine for its reports.
+    """Return whether this entry polls an engine for its reports.
 
-    All entries choose alike. When one leaves, only its own engines change hands.
+    Uses rendezvous hashing, so that all entries compute the same assignment and only the engines of
+    an entry that leaves are reassigned.
 
     Parameters
     ----------
@@ -43,8 +44,8 @@
     own_host
         This entry.
     hosts
-        The entries among which the engine's reports are shared out; ``None``: others that aren't
-        known one by one.
+        The candidate entries; ``None`` if they are entries of another data centre that aren't known
+        individually.
     """
     if hosts is None:
         return False
@@ -57,14 +58,14 @@
     Parameters
     ----------
     pace
-        How many times slower than its figures it works.
+        Slowdown of the engine relative to its nominal figures.
     limit_per_s
-        Requests a second that it takes, reports among them; ``None`` without a limit.
+        Requests per second that it accepts, reports included; ``None`` without a limit.
     is_doubted
-        Whether a late first event waits on it.
+        Whether an attempt at it has an overdue first event.
     """
     if limit_per_s is not None:
-        return max(REPORT_INTERVAL_S, 1 / (LIMITED_SHARE * max(LEAST_PER_S, limit_per_s)))
+        return max(REPORT_INTERVAL_S, 1 / (REPORT_SHARE_OF_LIMIT * max(LEAST_PER_S, limit_per_s)))
     if is_doubted:
         return DOUBTED_INTERVAL_S
     return SLOW_INTERVAL_S if pace >= SLOW_PACE else REPORT_INTERVAL_S
--- a/packages/proxy/src/sassafrastally/proxy/sight.py
+++ b/packages/proxy/src/sassafrastally/proxy/sight.py
@@ -1,4 +1,4 @@
-"""What is known when a decision is made: live servers, their work, suspicion."""
+"""View of the backend servers for routing decisions: liveness, load and suspicion."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class Sight(Service):
-    """Joins what this process knows with what its peers tell."""
+    """Combines this process's observations with those reported by its peers."""
 
     name: ClassVar[str] = "sight"
     needs: ClassVar[tuple[str, ...]] = ("backpressure", "beliefs", "peers")
 
     liveness: Liveness
-    """Tells servers that have died from those that broke off one answer."""
+    """Distinguishes servers that have died from those that broke off one answer."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -46,11 +46,11 @@
         self._leaving = LeavingServers()
         self._paces = Paces()
         self._probing: set[str] = set()
-        self.ask_report: Callable[[BackendServer, str], None] | None = None
-        """Asks an engine for its report on behalf of a request; notes a failure if none comes."""
+        self.request_report: Callable[[BackendServer, str], None] | None = None
+        """Requests an engine's report on behalf of a request; records a failure if none arrives."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Find the services whose knowledge is joined."""
+        """Look up the services whose state is combined and register the callbacks."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         self._peers = self.kernel.get("peers", Peers)
         self._backpressure = self.kernel.get("backpressure", Backpressure)
@@ -67,84 +67,84 @@
 
     @property
     def beliefs_age_s(self) -> float:
-        """Time since what is known of the servers was last confirmed."""
+        """Time since the view of the servers was last confirmed."""
         return self.kernel.clock.now_s() - self._beliefs.confirmed_s
 
     @property
     def news_age_s(self) -> float:
-        """How old the latest news of other entries is."""
+        """Age of the latest updates from other entries."""
         return self._peers.news_age_s
 
     def work(self) -> WorkView:
-        """Return the work of all entries."""
+        """Return the work in progress of all entries."""
         now_s = self.kernel.clock.now_s()
         return merge(self.ledger.work(now_s), self._peers.loads())
 
     def views(self, service: str, avoid: set[str]) -> list[ServerView]:
-        """Return the servers of a service in the order that all entries share.
+        """Return the servers of a service in the order shared by all entries.
 
-        Those that want no request of this entry now are left out, and suspects unless nobody else
-        is left.
+        Servers whose backpressure excludes further requests from this entry now are left out.
+        Suspects are included only if no other server remains.
 
         Parameters
         ----------
         service
             The service.
         avoid
-            Servers that were tried for this request; left out.
+            Servers to exclude, since they were already tried for this request.
         """
         return self._views(self._beliefs.servers_of(service), avoid)
 
     def near_views(self, service: str, avoid: set[str]) -> list[ServerView]:
-        """Return those of the own data centre, as `views`; none where they aren't chosen first."""
+        """Return the own data centre's servers as in `views`; none if they aren't preferred."""
         if not self.is_divided(service):
             return []
         pool = self._beliefs.pool(service, self.kernel.data_centre)
         return self._views(pool, avoid) if pool else []
 
     def is_divided(self, service: str) -> bool:
-        """Return whether each data centre's servers of a service are a fleet of their own.
+        """Return whether each data centre's servers of a service form a separate pool.
 
-        Where entries hear of all others themselves, their news of all engines is as fresh, and a
-        choice among all is the better one.
+        Without relays, every entry receives updates from all others directly. Load data is then
+        equally fresh for all engines, and choosing among all of them is better.
         """
         return self._peers.hears_sums() and self._beliefs.is_divided(service)
 
     def _views(self, servers: Sequence[BackendServer], avoid: set[str]) -> list[ServerView]:
         now_s = self.kernel.clock.now_s()
         work = self.work()
-        left_alone = self._left_alone(now_s)
+        to_avoid = self._servers_to_avoid(now_s)
         paces = self.paces()
-        closed = self._backpressure.rooms_s(servers)
+        without_room = self._backpressure.rooms_s(servers)
         views = [
             ServerView(
                 server,
-                self._with_unseen(life_id, work, now_s),
-                life_id in left_alone or server_hash(life_id) in left_alone,
+                self._work_with_unseen(life_id, work, now_s),
+                life_id in to_avoid or server_hash(life_id) in to_avoid,
                 paces.get(life_id, USUAL_PACE),
                 self._backpressure.limit_of(life_id) is not None,
             )
             for server in servers
-            if (life_id := server.life_id) not in avoid and life_id not in closed
+            if (life_id := server.life_id) not in avoid and life_id not in without_room
         ]
         trusted = [view for view in views if not view.is_suspect]
         return trusted or views
 
     def come_back_s(self, service: str, time_left_s: float | None) -> float | None:
-        """Return after how long a caller finds room at servers of which none wants a request now.
+        """Return after how long a caller should retry when no server accepts a request now.
 
-        ``None`` where some server does, or where no moment is known.
+        ``None`` if some server accepts one, or if the time is unknown.
         """
         servers = self._beliefs.servers_of(service)
         return self._backpressure.come_back_s(service, servers, time_left_s)
 
-    def _left_alone(self, now_s: float) -> set[str | int]:
-        """Return the servers to be left alone: own ones by id, those of peers by its hash."""
-        of_peers = (key for key, left_s in self._peers.suspects().items() if left_s > 0)
-        return {*of_peers, *self._own_left_alone(now_s)}
+    def _servers_to_avoid(self, now_s: float) -> set[str | int]:
+        """Return the servers to avoid: own suspects by id, those of peers by the id's hash."""
+        from_peers = (key for key, left_s in self._peers.suspects().items() if left_s > 0)
+        return {*from_peers, *self._own_servers_to_avoid(now_s)}
 
-    def _own_left_alone(self, now_s: float) -> dict[str, float]:
-        """Return the servers that this process leaves alone, with the seconds left."""
+    def _own_servers_to_avoid(self, now_s: float) -> dict[str, float]:
+        """Return the servers that this process avoids, with the remaining seconds."""
         return {
             **self._slowness.slow_servers(now_s),
             **self.suspicion.suspects(now_s),
@@ -153,32 +153,32 @@
         }
 
     def paces(self) -> dict[str, float]:
-        """Return the pace of each engine that is slow, as this process or a peer has heard."""
-        of_peers = self._peers.paces()
-        told = {
-            server.life_id: of_peers[key]
-            for server in (self._beliefs.servers() if of_peers else ())
-            if (key := server_hash(server.life_id)) in of_peers
+        """Return the pace of each slow engine, as reported to this process or to a peer."""
+        from_peers = self._peers.paces()
+        reported = {
+            server.life_id: from_peers[key]
+            for server in (self._beliefs.servers() if from_peers else ())
+            if (key := server_hash(server.life_id)) in from_peers
         }
-        return {**told, **self._paces.slow(self.kernel.clock.now_s())}
+        return {**reported, **self._paces.slow(self.kernel.clock.now_s())}
 
     def note_pace(self, server: BackendServer, pace: float) -> None:
-        """Note the pace that an engine reports."""
+        """Record the pace that an engine reports."""
         self._paces.note(server.life_id, pace, self.kernel.clock.now_s())
         if pace >= SLOW_PACE:
-            self.ledger.note_change()  # So that peers hear of it at once.
+            self.ledger.note_change()  # Sends the next datagram early.
 
     def _own_paces(self) -> dict[int, float]:
         slow = self._paces.slow(self.kernel.clock.now_s())
         return {server_hash(life_id): pace for life_id, pace in slow.items()}
 
-    def _with_unseen(self, life_id: str, work: WorkView, now_s: float) -> Work:
+    def _work_with_unseen(self, life_id: str, work: WorkView, now_s: float) -> Work:
         known = work.at(life_id)
         unseen = self._unseen.at(life_id, now_s)
         return known._replace(short_requests=known.short_requests + unseen) if unseen else known
 
     def forget_gone(self) -> None:
-        """Forget what was noted of servers that no longer exist."""
+        """Discard the state of servers that no longer exist."""
         known = {server.life_id for server in self._beliefs.servers()}
         self.suspicion.forget_gone(known)
         self._slowness.forget_gone(known)
@@ -187,7 +187,7 @@
         self._unseen.forget_old(self.kernel.clock.now_s())
 
     def note_load(self, life_id: str, load: ServerLoad | None) -> None:
-        """Note the load that a server told with an answer."""
+        """Record the load that a server reported with an answer."""
         if load is not None:
             now_s = self.kernel.clock.now_s()
             known = self._work_at(life_id, now_s).requests
@@ -196,16 +196,16 @@
     def note_event(
         self, server: BackendServer, waited_s: float, limit_s: float, request_id: str
     ) -> None:
-        """Note how long an event of a stream was waited for.
+        """Record how long an event of a stream took to arrive.
 
         Parameters
         ----------
         server
-            Who sent it.
+            Server that sent it.
         waited_s
-            How long it was waited for.
+            Time until it arrived.
         limit_s
-            Time from which on it is slow, if the server reads nothing.
+            Longer waits count as slow unless the server is in prefill.
         request_id
             The request that it belongs to.
         """
@@ -214,47 +214,47 @@
             return
         now_s = self.kernel.clock.now_s()
         if self._work_at(server.life_id, now_s).reading_requests:
-            return  # Reading explains it.
+            return  # Prefill explains the delay.
         servers = len(self._beliefs.servers_of(server.service))
         if not self._slowness.note_slow(server.life_id, servers, now_s):
             return
         SUSPICIONS.add(1)
-        self.ledger.note_change()  # So that peers hear of it at once.
-        reason = f"slow: events take over {limit_s:.2f} s, the last one {waited_s:.2f} s"
+        self.ledger.note_change()  # Sends the next datagram early.
+        reason = f"slow: events take more than {limit_s:.2f} s; the last took {waited_s:.2f} s"
         self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEFT_ALONE_S, request_id))
 
     def _work_at(self, life_id: str, now_s: float) -> Work:
-        """Return the work at one server, without the cost of a view of all."""
+        """Return the work at one server, without the cost of merging the work of all servers."""
         key = server_hash(life_id)
         own = self.ledger.work(now_s).get(life_id, NO_WORK)
         return add_work([own, *(loads.get(key, NO_WORK) for loads in self._peers.loads())])
 
     def note_success(self, life_id: str) -> None:
-        """Note a good answer."""
+        """Record a successful answer."""
         self.suspicion.succeeded(life_id)
 
     def note_failure(
         self, server: BackendServer, reason: str, request_id: str, *, is_clear: bool = False
     ) -> None:
-        """Note a failed answer.
+        """Record a failed answer.
 
         Parameters
         ----------
         server
-            Who failed.
+            Server that failed.
         reason
-            How.
+            Description of the failure, for the log.
         request_id
-            The request that met it.
+            The request that failed.
         is_clear
-            Whether nobody answers at the server's address. Otherwise a connection is tried, which
-            tells a server that has died from one that broke off one answer.
+            Whether the server is known not to respond. Otherwise a connection is probed, to
+            distinguish a server that has died from one that broke off one answer.
         """
         now_s = self.kernel.clock.now_s()
         for_s = self.suspicion.failed(server.life_id, now_s, is_clear=is_clear)
         if for_s:
             SUSPICIONS.add(1)
-            self.ledger.note_change()  # So that peers hear of it at once.
+            self.ledger.note_change()  # Sends the next datagram early.
             self.kernel.events.emit(ServerSuspected(server.server_id, reason, for_s, request_id))
         elif server.life_id not in self._probing:
             self._probing.add(server.life_id)
@@ -263,12 +263,12 @@
     def note_refusal(
         self, server: BackendServer, reason: str, request_id: str, *, is_clear: bool = False
     ) -> None:
-        """Note that a server turned a request away, or is named as the cause of that.
+        """Record that a server refused a request, or is named as the cause of a refusal.
 
         Parameters
         ----------
         server
-            Who did.
+            Server that refused, or is named.
         reason, request_id, is_clear
             As for `note_failure`.
         """
@@ -280,19 +280,20 @@
         SUSPICIONS.add(1)
         self._leaving.note(server.life_id, now_s)
         self.ledger.note_change(is_urgent=True)
-        reason = f"{reason}, and its load doesn't say why: it may be leaving"
+        reason = f"{reason}; its known load doesn't explain this, so it may be leaving"
         self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEAVING_S, request_id))
 
     def note_silence(self, server: BackendServer, request_id: str) -> None:
-        """Note that nothing came of a server in time.
+        """Record that a server sent nothing within the time limit.
 
-        An engine under a flood is as silent as a dead one. Left alone for it, it is lost to a fleet
-        that lacks engines already, and its load falls on the others; so its report decides.
+        An overloaded engine is as silent as a dead one. Avoiding it would take capacity from a
+        fleet that is already short of it and move its load to the others, so the engine's report
+        decides.
         """
-        if self.ask_report is None or not self._has_engine(server.service):
-            self.note_failure(server, "nothing came in time", request_id)
+        if self.request_report is None or not self._has_engine(server.service):
+            self.note_failure(server, "no response within the time limit", request_id)
         else:
-            self.ask_report(server, request_id)
+            self.request_report(server, request_id)
 
     def _has_engine(self, service: str) -> bool:
         configuration = self._beliefs.configuration
@@ -308,5 +309,5 @@
             self.note_failure(server, f"probe: {finding.detail}", request_id, is_clear=True)
 
     def _own_suspects(self) -> dict[int, float]:
-        left = self._own_left_alone(self.kernel.clock.now_s())
+        left = self._own_servers_to_avoid(self.kernel.clock.now_s())
         return {server_hash(life_id): left_s for life_id, left_s in left.items()}
--- a/packages/proxy/src/sassafrastally/proxy/store.py
+++ b/packages/proxy/src/sassafrastally/proxy/store.py
@@ -1,10 +1,10 @@
-"""The key-value service as the request path uses it: snapshots and changes in batches."""
+"""Interface of the key-value store for the request path: snapshots and batched changes."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-# KvEntry and KvEvent at run time too: they are fields of named tuples.
+# Runtime import: KvEntry and KvEvent are field types of named tuples.
 from sassafrastally.core import CodedError, KvEntry, KvEvent, error
 
 if TYPE_CHECKING:
@@ -15,30 +15,30 @@
 
 @error(10002)
 class HistoryGone(CodedError):
-    """The store no longer has the changes after a revision: everything has to be read again."""
+    """The store no longer has the changes after a revision; a new snapshot must be read."""
 
 
 @error(10003)
 class AnswerLost(CodedError):
-    """No whole answer to a call came: the connection failed or time ran out."""
+    """A call got no complete answer: the connection failed or the time limit passed."""
 
 
 class Snapshot(NamedTuple):
-    """Entries under a prefix, and a revision from which a watch may continue."""
+    """Entries under a prefix, and the revision from which a watch can continue."""
 
     entries: tuple[KvEntry, ...]
     revision: int
 
 
 class Changes(NamedTuple):
-    """What a watch brought."""
+    """Changes returned by a watch."""
 
     events: tuple[KvEvent, ...]
     revision: int
 
 
 class Store(Protocol):
-    """Calls of the store; each raises `sassafrastally.core.KvUnavailable` when it did nothing."""
+    """Store operations; each raises `sassafrastally.core.KvUnavailable` if it had no effect."""
 
     async def read_prefix(self, prefix: str) -> Snapshot:
         """Return all entries under a prefix."""
@@ -49,7 +49,7 @@
         ...
 
     async def write(self, writes: Sequence[KvWrite]) -> int:
-        """Do all writes or none; raises `KvConflict`, `LeaseLost` and `MaybeApplied`."""
+        """Apply all writes atomically; raises `KvConflict`, `LeaseLost` and `MaybeApplied`."""
         ...
 
     async def grant_lease(self, time_to_live_s: float) -> int:
--- a/packages/proxy/src/sassafrastally/proxy/watch.py
+++ b/packages/proxy/src/sassafrastally/proxy/watch.py
@@ -1,4 +1,4 @@
-"""Follows the store: everything once, then changes as they come."""
+"""Follows the store: reads a snapshot, then watches for changes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sassafrastally.core import KvUnavailable, Service
 from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.catching_up import TOGETHER_S
+from sassafrastally.proxy.catching_up import CONFIGURATION_PAUSE_S
 from sassafrastally.proxy.log_events import (
     HistoryReread,
     StoreLost,
@@ -23,33 +23,33 @@
 if TYPE_CHECKING:
     from sassafrastally.proxy.store import Store
 
-EVERYTHING = ""
-"""Prefix of all keys. One watch for configuration and servers costs half of what two cost."""
+ALL_KEYS_PREFIX = ""
+"""Prefix of all keys. One watch for configuration and servers costs half as much as two."""
 
-WAIT_S = 1.0
-"""How long a watch waits for a change. A connection that went silent shows after this and the
-store client's time limit, inside the two seconds that operators allow for a change to be in force.
-Each end of a wait costs a call, so shorter is dearer."""
+WATCH_WAIT_S = 1.0
+"""How long a watch waits for a change. A dead connection is detected after this time plus the store
+client's time limit, within the two seconds that operators allow for a change to be in force. Each
+wait costs a call, so a shorter one is more expensive."""
 
-LOOK_S = 0.1
-"""How often an entry that doesn't watch looks whether it has to."""
+DUTY_CHECK_INTERVAL_S = 0.1
+"""Interval at which an entry that doesn't watch checks whether it has to."""
 
-FIRST_WAIT_S = 0.1
-"""The same for the first watch of an entry that steps in: its answer tells the others that they
-needn't."""
+TAKEOVER_WAIT_S = 0.1
+"""Wait of the first watch after a takeover. Its early answer tells the other entries that they
+needn't watch."""
 
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.5
-"""Pause after a failed call, doubled with each one in a row, with jitter: entries must not return
-all at once to a store that has just come back, and must be back well within two seconds."""
+MIN_RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 0.5
+"""Exponential backoff after failed calls, with jitter: entries must not all call a store at once
+that has just recovered, and must reconnect well within two seconds."""
 
-OTHERS_PAUSE_S = 1.5
-"""Longest pause of entries that leave it to a few others to try a lost store often. Should it
-answer none of those, it is still found within the two seconds."""
+MAX_NON_PROBER_PAUSE_S = 1.5
+"""Maximum pause of entries that aren't probers, the few that retry an unavailable store often. If
+the store answers none of the probers, it is still found within the two seconds."""
 
-FIRST_HEARING_S = 0.4
-"""How long an entry that starts waits to hear of the others before it watches itself. Most find
-that others do; until then each start cost a call that waits."""
+PEER_DISCOVERY_WAIT_S = 0.4
+"""How long a starting entry waits for datagrams of its peers before it watches the store itself.
+Most find that others already watch; without the wait, each start cost a watch call."""
 
 
 class StoreWatch(Service):
@@ -62,66 +62,66 @@
         self._store = store
         self._lost_since_s: float | None = None
         self._is_watching = True
-        self._wait_s = WAIT_S
+        self._wait_s = WATCH_WAIT_S
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to follow."""
+        """Look up the services used and start following the store."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         self._peers = self.kernel.get("peers", Peers)
         nursery.start_soon(self._follow)
 
     async def _follow(self) -> None:
-        pause_s = FIRST_PAUSE_S
+        pause_s = MIN_RETRY_PAUSE_S
         must_read = True
         while True:
             if not must_read and not self._has_duty():
-                await trio.sleep(LOOK_S)
+                await trio.sleep(DUTY_CHECK_INTERVAL_S)
                 continue
             try:
                 if must_read:
-                    await self._read_everything()
-                    must_read, pause_s = False, FIRST_PAUSE_S
+                    await self._read_snapshot()
+                    must_read, pause_s = False, MIN_RETRY_PAUSE_S
                     continue
-                wait_s, self._wait_s = self._wait_s, WAIT_S
-                changes = await self._store.watch(EVERYTHING, self._beliefs.revision, wait_s)
-                self._note_regained()
+                wait_s, self._wait_s = self._wait_s, WATCH_WAIT_S
+                changes = await self._store.watch(ALL_KEYS_PREFIX, self._beliefs.revision, wait_s)
+                self._note_recovered()
                 configuration = self._beliefs.configuration
                 self._peers.note_changes(changes.events)
                 self._beliefs.apply(changes.events, changes.revision, "store")
-                pause_s = FIRST_PAUSE_S
+                pause_s = MIN_RETRY_PAUSE_S
                 if self._beliefs.configuration is not configuration:
-                    await trio.sleep(TOGETHER_S)
+                    await trio.sleep(CONFIGURATION_PAUSE_S)
             except HistoryGone:
                 self.kernel.events.emit(HistoryReread(self._beliefs.revision))
                 must_read = True
             except KvUnavailable as cause:
                 self._note_lost(cause)
                 await trio.sleep(pause_s * self.kernel.random.uniform(0.5, 1.0))
-                pause_s = min(self._longest_pause_s(), 2 * pause_s)
+                pause_s = min(self._max_pause_s(), 2 * pause_s)
 
-    async def _read_everything(self) -> None:
-        snapshot = await self._store.read_prefix(EVERYTHING)
+    async def _read_snapshot(self) -> None:
+        snapshot = await self._store.read_prefix(ALL_KEYS_PREFIX)
         is_first = self._beliefs.revision == 0
         self._beliefs.replace(snapshot, "store")
-        self._note_regained()
+        self._note_recovered()
         self._peers.note_snapshot(snapshot.entries)
-        if is_first and self._peers.knows_others():
-            await trio.sleep(FIRST_HEARING_S)
+        if is_first and self._peers.has_known_peers():
+            await trio.sleep(PEER_DISCOVERY_WAIT_S)
 
-    def _longest_pause_s(self) -> float:
-        return LONGEST_PAUSE_S if self._peers.is_prober() else OTHERS_PAUSE_S
+    def _max_pause_s(self) -> float:
+        return MAX_RETRY_PAUSE_S if self._peers.is_prober() else MAX_NON_PROBER_PAUSE_S
 
     def _has_duty(self) -> bool:
-        """Return whether this entry watches; note when it takes the watch over.
+        """Return whether this entry must watch; handle a takeover.
 
-        Those who watched had no answer lately, so the store may just have been away. The entry that
-        takes over never saw that itself; entries that lapsed meanwhile must keep their place with
-        it too.
+        On a takeover, the previous watchers had no recent answer, so the store may have been
+        unavailable. This entry hasn't observed an outage itself, so it records one here: servers
+        whose leases expired meanwhile must get the grace period from it too.
         """
         others = self._peers.others_at_the_store()
         had_duty, self._is_watching = self._is_watching, has_duty(self._peers.own_entry, others)
         if self._is_watching and not had_duty:
-            self._wait_s = FIRST_WAIT_S
+            self._wait_s = TAKEOVER_WAIT_S
             self.kernel.events.emit(WatchTakenOver(len(others), self._beliefs.revision))
             if self._lost_since_s is None:
                 self._lost_since_s = self.kernel.clock.now_s()
@@ -138,7 +138,7 @@
             StoreLost("watch", cause.detail, self._beliefs.revision, round(age_s, 3))
         )
 
-    def _note_regained(self) -> None:
+    def _note_recovered(self) -> None:
         now_s = self.kernel.clock.now_s()
         self._beliefs.store_answered_s = now_s
         if self._lost_since_s is None:
--- a/packages/proxy/tests/test_beliefs.py
+++ b/packages/proxy/tests/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What a process believes, from the store, from peers, and through outages."""
+"""Local view of configuration and servers: updates from the store and peers, store outages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PlainDialect:
-    """Spells everything as JSON lists."""
+    """Decodes store values from JSON."""
 
     keys = StoreKeys("config", "servers/", "entries/", "quarantine/")
 
@@ -48,18 +48,19 @@
 
 
 class TestConfiguration:
-    """Versions only move forward."""
+    """Configuration versions only increase."""
 
-    async def test_older_version_from_a_late_answer_is_ignored(self, beliefs):
-        """A read of the store is answered late, after a newer version came by a watch. Taking it
-        would bring routes and keys back that operators have taken away."""
+    async def test_older_version_from_a_delayed_read_is_ignored(self, beliefs):
+        """A delayed store read delivers an older version after a watch has delivered a newer one.
+        Guards against restoring routes and keys that operators have removed."""
         beliefs.apply([put("config", "7", 10)], 10, "store")
         beliefs.replace(Snapshot((KvEntry("config", b"5", 11),), 11), "store")
         assert beliefs.configuration.version == 7
 
-    async def test_versions_in_quick_succession_take_the_place_of_one(self, beliefs):
-        """Operators roll two hundred versions of half a megabyte within a minute. Kept for peers
-        that are behind, they take a hundred megabytes, and each late peer fetches them all."""
+    async def test_only_the_last_of_many_versions_is_kept_for_peers(self, beliefs):
+        """Operators publish two hundred versions of half a megabyte within a minute. Guards against
+        keeping them all for peers that are behind: a hundred megabytes of memory, fetched by each
+        such peer."""
         for revision in range(1, 201):
             beliefs.apply([put("config", str(revision), revision)], revision, "store")
         beliefs.apply([put("servers/a", "false", 201)], 201, "store")
@@ -67,47 +68,47 @@
         assert [event.key for event in delta.events] == ["config", "servers/a"]
         assert delta.events[0].value == b"200"
 
-    async def test_no_change_is_missing_for_a_peer_when_many_are_dropped(self, beliefs):
+    async def test_last_change_of_a_key_is_kept_when_older_ones_are_dropped(self, beliefs):
         """A batch changes the configuration, six hundred servers, and the configuration again.
-        Dropped as the oldest of too many changes, the last version would never reach a peer that
-        lacks some of the servers' changes only."""
+        Guards against dropping the last version as the oldest change, so that a peer that misses
+        only some of the servers' changes never receives it."""
         servers = [put(f"servers/{n}", "false", n) for n in range(2, 602)]
         changes = [put("config", "1", 1), *servers, put("config", "2", 602)]
         beliefs.apply(changes, 602, "store")
         assert "config" in {event.key for event in beliefs.delta_after(300).events}
 
-    async def test_document_that_cannot_be_read_leaves_the_last_one_in_force(self, beliefs):
+    async def test_invalid_configuration_leaves_the_last_one_in_force(self, beliefs):
         beliefs.apply([put("config", "7", 10)], 10, "store")
         beliefs.apply([put("config", "broken", 11)], 11, "store")
         assert beliefs.configuration.version == 7
 
 
 class TestServers:
-    """Backend servers come, drain and go."""
+    """Backend servers join, drain and leave."""
 
-    async def test_draining_server_is_known_but_gets_no_work(self, beliefs):
+    async def test_draining_server_is_known_but_not_used(self, beliefs):
         beliefs.apply([put("servers/a", "false", 1), put("servers/b", "true", 2)], 2, "store")
         assert [server.server_id for server in beliefs.servers_of("s")] == ["a"]
         assert beliefs.server("b") is not None
 
-    async def test_old_change_told_by_a_peer_does_not_bring_a_server_back(self, beliefs):
-        """A server left. A peer that is behind tells its entry's last change again, under its old
-        revision; the server would get requests again, long after it has gone."""
+    async def test_old_change_from_a_peer_does_not_restore_a_removed_server(self, beliefs):
+        """A server has left, and a peer that is behind sends the last change of its record with the
+        old revision. Guards against requests to a server that is gone."""
         beliefs.apply([put("servers/a", "false", 1)], 1, "store")
         beliefs.apply([KvEvent("servers/a", None, 5)], 5, "store")
         beliefs.apply([put("servers/a", "false", 3)], 3, "peer")
         assert beliefs.server("a") is None
 
-    async def test_snapshot_that_is_behind_is_ignored(self, beliefs):
+    async def test_older_snapshot_is_ignored(self, beliefs):
         beliefs.apply([put("servers/a", "false", 9)], 9, "store")
         beliefs.replace(Snapshot((), 4), "peer")
         assert beliefs.server("a") is not None
 
-    async def test_entry_that_lapsed_with_the_store_keeps_its_place_for_a_moment(
+    async def test_server_whose_lease_expired_in_an_outage_is_kept_for_a_grace_period(
         self, beliefs, autojump_clock
     ):
-        """The store was away and leases ran out; its first changes on return remove live servers.
-        They are back within two seconds. Dropped at once, all requests would be refused."""
+        """Leases expired during a store outage, so the first changes after it remove live servers,
+        which register again within two seconds. Guards against refusing all requests meanwhile."""
         beliefs.apply([put("servers/a", "false", 1), put("servers/b", "false", 2)], 2, "store")
         beliefs.store_returned_s = beliefs.kernel.clock.now_s()
         gone = [KvEvent("servers/a", None, 3), KvEvent("servers/b", None, 4)]
@@ -117,16 +118,16 @@
         autojump_clock.jump(LAPSE_GRACE_S + 0.1)
         assert [server.server_id for server in beliefs.servers_of("s")] == ["a"]
 
-    async def test_entry_removed_in_calm_times_is_gone_at_once(self, beliefs):
+    async def test_server_removed_without_an_outage_is_dropped_at_once(self, beliefs):
         beliefs.apply([put("servers/a", "false", 1)], 1, "store")
         beliefs.apply([KvEvent("servers/a", None, 2)], 2, "store")
         assert beliefs.servers_of("s") == []
 
 
-class TestLives:
-    """Servers that start again under the id that they had."""
+class TestIncarnations:
+    """Servers that restart under the same id."""
 
-    async def test_next_life_is_another_server(self, beliefs):
+    async def test_next_incarnation_is_another_server(self, beliefs):
         beliefs.apply([put("servers/a", "[false, 1000]", 1)], 1, "store")
         (first,) = beliefs.servers_of("s")
         beliefs.apply([put("servers/a", "[false, 2000]", 2)], 2, "store")
@@ -137,23 +138,23 @@
         assert beliefs.is_current(second)
 
     @pytest.mark.parametrize("late", ["[true, 1000]", "false"])
-    async def test_late_entry_of_the_former_life_changes_nothing(self, beliefs, late):
-        """A server crashes while its last write is on the way, and starts again under its id. The
-        late write says that it drains; believed, the healthy new life would get no request until
-        its own next change."""
+    async def test_late_record_of_an_earlier_incarnation_is_ignored(self, beliefs, late):
+        """A server crashes while its last write, which marks it as draining, is in flight, and
+        restarts under the same id. Guards against applying the late write to the new incarnation,
+        which would get no requests until its next own write."""
         beliefs.apply([put("servers/a", "[false, 1000]", 1)], 1, "store")
         beliefs.apply([put("servers/a", "[false, 2000]", 2)], 2, "store")
         beliefs.apply([put("servers/a", late, 3)], 3, "store")
         assert [server.born_ms for server in beliefs.servers_of("s")] == [2000]
 
-    async def test_late_entry_does_not_come_to_life_after_the_server_has_left(self, beliefs):
+    async def test_late_record_is_ignored_after_the_server_has_left(self, beliefs):
         beliefs.apply([put("servers/a", "[false, 2000]", 2)], 2, "store")
         beliefs.apply([KvEvent("servers/a", None, 3)], 3, "store")
         beliefs.apply([put("servers/a", "[false, 1000]", 4)], 4, "peer")
         assert beliefs.servers_of("s") == []
 
-    async def test_memory_of_lives_is_bounded(self, beliefs, monkeypatch):
-        monkeypatch.setattr("sassafrastally.proxy.beliefs.KEPT_LIVES", 3)
+    async def test_number_of_remembered_incarnations_is_bounded(self, beliefs, monkeypatch):
+        monkeypatch.setattr("sassafrastally.proxy.beliefs.MAX_KEPT_INCARNATIONS", 3)
         for number in range(6):
             beliefs.apply([put(f"servers/{number}", "[false, 5]", number + 1)], number + 1, "store")
         beliefs.apply(
@@ -163,19 +164,19 @@
         assert not beliefs.server("5").is_draining
 
 
-class TestForeignEntries:
-    """Entries that another writer put where servers have theirs."""
+class TestInvalidRecords:
+    """Invalid records under the servers' prefix, written by another process."""
 
     async def test_overwritten_server_gets_no_request_until_it_writes_again(self, beliefs):
-        """A script of somebody else writes over a server's entry. Whether the server drains can't
-        be read there any more; kept in use as it was, it would get requests after it has left."""
+        """Another process overwrites a server's record, so that its drain state can't be read.
+        Guards against requests to the server after it has left."""
         beliefs.apply([put("servers/a", "false", 1), put("servers/b", "false", 2)], 2, "store")
         beliefs.apply([put("servers/a", "{not JSON", 3)], 3, "store")
         assert [server.server_id for server in beliefs.servers_of("s")] == ["b"]
         beliefs.apply([put("servers/a", "false", 4)], 4, "store")
         assert [server.server_id for server in beliefs.servers_of("s")] == ["a", "b"]
 
-    async def test_one_of_many_does_not_hold_up_the_rest(self, beliefs):
+    async def test_invalid_record_does_not_block_other_changes(self, beliefs):
         events = [put("servers/a", "{", 1), put("servers/b", "false", 2), put("config", "1", 3)]
         beliefs.apply(events, 3, "store")
         assert [server.server_id for server in beliefs.servers_of("s")] == ["b"]
@@ -183,9 +184,9 @@
 
 
 class TestDelta:
-    """What a peer that is behind is told."""
+    """Changes sent to a peer that is behind."""
 
-    async def test_changes_when_they_are_kept_and_everything_otherwise(self, beliefs):
+    async def test_changes_if_they_are_kept_and_full_snapshot_otherwise(self, beliefs):
         beliefs.replace(Snapshot((KvEntry("config", b"1", 4),), 4), "store")
         beliefs.apply([put("servers/a", "false", 6)], 6, "store")
         assert [event.key for event in beliefs.delta_after(4).events] == ["servers/a"]
--- a/packages/proxy/tests/test_liveness.py
+++ b/packages/proxy/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Whether anybody listens at a server's address, over real sockets."""
+"""Probing of server addresses, over real sockets."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Listener:
-    """A server that only takes connections; counts them."""
+    """A server that accepts and closes connections, and counts them."""
 
     def __init__(self) -> None:
-        self.taken = 0
+        self.accepted = 0
         self.scope = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[Address]) -> None:
@@ -24,19 +24,20 @@
             listeners = await trio.open_tcp_listeners(0, host=HOST)
             port = listeners[0].socket.getsockname()[1]
             task_status.started(Address(HOST, port))
-            await trio.serve_listeners(self._take, listeners)
+            await trio.serve_listeners(self._accept, listeners)
 
-    async def _take(self, stream: trio.SocketStream) -> None:
-        self.taken += 1
+    async def _accept(self, stream: trio.SocketStream) -> None:
+        self.accepted += 1
         await stream.aclose()
 
 
 class TestLiveness:
-    """Findings, and how long they are believed."""
+    """Findings and how long they are reused."""
 
-    async def test_server_that_crashes_right_after_it_was_found_alive_is_found_out(self, nursery):
-        """A server breaks one answer off and lives; a moment later it crashes under another
-        request. Taken from memory, the finding would hide the crash and what ran there."""
+    async def test_crash_right_after_a_successful_probe_is_detected(self, nursery):
+        """A server breaks off one answer but lives, and crashes shortly after while running another
+        request. Guards against reusing the first finding, which would hide the crash and the
+        requests involved."""
         listener = Listener()
         address = await nursery.start(listener.run)
         server = BackendServer("s", "engines", address, "here", 8, False)
@@ -48,14 +49,15 @@
         assert finding.is_refused
         assert not finding.is_listening
 
-    async def test_all_who_ask_at_once_share_one_connection(self, nursery):
-        """Each connection costs a server a moment of a slot."""
+    async def test_concurrent_probes_share_one_connection(self, nursery):
+        """Guards against a probe per request: each connection briefly occupies one of the server's
+        slots."""
         listener = Listener()
         address = await nursery.start(listener.run)
         server = BackendServer("s", "engines", address, "here", 8, False)
         liveness = Liveness(nursery)
-        async with trio.open_nursery() as asking:
+        async with trio.open_nursery() as probing:
             for _ in range(8):
-                asking.start_soon(liveness.find, server)
+                probing.start_soon(liveness.find, server)
         await trio.sleep(0.02)
-        assert listener.taken == 1
+        assert listener.accepted == 1
--- a/packages/proxy/tests/test_peer_messages.py
+++ b/packages/proxy/tests/test_peer_messages.py
@@ -1,10 +1,10 @@
-"""What entries tell each other by datagram."""
+"""Datagrams between entries."""
 
 from __future__ import annotations
 
 import random
 
-from sassafrastally.proxy.crash_cases import MOST_CRASHES_TOLD
+from sassafrastally.proxy.crash_cases import MAX_CRASHES_SENT
 from sassafrastally.proxy.limit_news import LimitNews
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
@@ -13,9 +13,9 @@
 
 
 class TestDatagram:
-    """One datagram, coded and decoded."""
+    """Encoding and decoding of one datagram, and its size."""
 
-    def test_carries_all_that_is_told(self):
+    def test_encodes_and_decodes_all_fields(self):
         hello = Hello(
             host="10.0.0.1",
             boot_id=7,
@@ -38,13 +38,13 @@
         )
         assert decode_hello(encode_hello(hello)) == hello
 
-    def test_stays_small(self):
+    def test_size_is_bounded_with_many_loads(self):
         loads = {n << 40: Work(1, 2, 3, 4, 400_000, 60_000.0) for n in range(200)}
         hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, loads, (), {}, {}, 0.0, 0.0, "here", 10)
         assert len(encode_hello(hello)) < 1400
 
-    def test_with_all_kinds_of_news_arrives_whole(self):
-        """Guards against datagrams that are too large to be received."""
+    def test_size_is_bounded_with_all_kinds_of_news(self):
+        """Guards against datagrams that are too large to be received, with all fields filled."""
         draw = random.Random(1)
         keys = [draw.getrandbits(64) for _ in range(200)]
         hello = Hello(
@@ -61,9 +61,9 @@
         assert decode_hello(data).limits
         assert decode_hello(data).suspects
 
-    def test_has_room_for_loads_beside_all_news_of_harmful_requests(self):
-        """Many servers crash at once, each under many requests. Peers must still learn which
-        engines are busy, or all place on the same ones."""
+    def test_has_room_for_loads_beside_quarantine_news(self):
+        """Many servers crash at once, each while running many requests. Guards against crash
+        records that leave no room for loads: peers would all choose the same busy engines."""
         draw = random.Random(1)
         quarantine = Quarantine()
         for number in range(300):
@@ -75,5 +75,5 @@
         hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, loads, (), {}, {}, 0.0, 0.0, "here", 10)
         received = decode_hello(encode_hello(hello._replace(quarantine=news)))
         assert len(encode_hello(hello._replace(quarantine=news))) < 1400
-        assert len(received.quarantine.crashes) == MOST_CRASHES_TOLD
+        assert len(received.quarantine.crashes) == MAX_CRASHES_SENT
         assert len(received.loads) >= 30
