--- a/packages/proxy/benchmarks/quarantine.py
+++ b/packages/proxy/benchmarks/quarantine.py
@@ -16,15 +16,15 @@
 BODIES = {"4 KB": 4_096, "100 KB": 102_400, "4 MB": 4_194_304}
 
 
-def full() -> Quarantine:
+def quarantine_at_limits() -> Quarantine:
     """Return a quarantine at its limits, after thousands of bodies with crashes and answers."""
-    known, draw = Quarantine(), random.Random(1)
+    quarantine, draw = Quarantine(), random.Random(1)
     for number in range(4000):
         fingerprint = draw.getrandbits(64)
         for _ in range(1 + number % 3):
-            known.note_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
-        known.note_answered(draw.getrandbits(64), 0.01 * number)
-    return known
+            quarantine.note_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
+        quarantine.note_answered(draw.getrandbits(64), 0.01 * number)
+    return quarantine
 
 
 def main() -> None:
@@ -41,14 +41,14 @@
     print(f"answer {median_us(lambda: calm.note_answered(7, 1.0), 20_000):.2f} us, ", end="")
     print(f"news {median_us(lambda: calm.news(1.0, is_full=False), 20_000):.2f} us")
     tracemalloc.start()
-    known = full()
+    quarantine = quarantine_at_limits()
     kept_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
-    print(f"full: {len(known)} verdicts, {kept_kb:.0f} KB, ", end="")
-    print(f"verdict {median_us(lambda: known.verdict(7, 40.0), 2_000):.1f} us, ", end="")
-    print(f"news {median_us(lambda: known.news(40.2, is_full=False), 200):.0f} us, ", end="")
-    print(f"told again {median_us(lambda: known.news(41.0, is_full=True), 200):.0f} us")
-    news = known.news(40.2, is_full=True)
+    print(f"full: {len(quarantine)} verdicts, {kept_kb:.0f} KB, ", end="")
+    print(f"verdict {median_us(lambda: quarantine.verdict(7, 40.0), 2_000):.1f} us, ", end="")
+    print(f"news {median_us(lambda: quarantine.news(40.2, is_full=False), 200):.0f} us, ", end="")
+    print(f"told again {median_us(lambda: quarantine.news(41.0, is_full=True), 200):.0f} us")
+    news = quarantine.news(40.2, is_full=True)
     hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, {}, (), {}, {}, 0.0, 0.0, "here", 10)
     sizes = [len(encode_hello(one)) for one in (hello, hello._replace(quarantine=news))]
     print(f"datagram: {sizes[0]} bytes without, {sizes[1]} with all that fits")
--- a/packages/proxy/src/sassafrastally/proxy/crash_cases.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_cases.py
@@ -133,8 +133,7 @@
     def note_crash(self, fingerprint: int, server: int, crash: Crash) -> bool:
         """Record that a server crashed while it ran a request; return whether this is new.
 
-        A crash reported by several entries counts once. The confirmation of a presumed crash is
-        new.
+        A crash reported by several entries counts once. Confirming a presumed crash counts as new.
         """
         known = self._crashes.setdefault(fingerprint, {})
         if server in known and (crash.is_presumed or not known[server].is_presumed):
@@ -169,7 +168,7 @@
 
         Parameters
         ----------
-        kept
+        is_protected
             Returns whether a request must be kept.
         """
         if len(self._crashes) <= MAX_CASES:
--- a/packages/proxy/src/sassafrastally/proxy/peer_messages.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_messages.py
@@ -100,7 +100,7 @@
 
 
 def encode_hello(hello: Hello) -> bytes:
-    """Encode a datagram, dropping the smallest loads and then flags if it is too large."""
+    """Encode a datagram; if too large, drop loads, then suspects, paces and limits."""
     loads = sorted(hello.loads.items(), key=lambda item: (-item[1].reading_ms, -item[1].requests))
     while True:
         data = _encode(hello, loads)
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -356,8 +356,8 @@
     def _is_refuted(self, fingerprint: int, crashes: int, now_s: float) -> bool:
         """Return whether the crashes of a verdict are known here and too few to justify it.
 
-        An entry without an answer to the request counts each crashed server of a rack. An entry
-        with one counts them once.
+        An entry that has no answer to the request counts each crashed server of a rack. An entry
+        that has one counts them once.
         """
         if not self._cases.was_answered(fingerprint):
             return False
--- a/packages/proxy/tests/test_quarantine.py
+++ b/packages/proxy/tests/test_quarantine.py
@@ -33,19 +33,19 @@
     """Several entries that exchange their records at once, unless they are cut off."""
 
     def __init__(self, count: int) -> None:
-        self.known = [Quarantine() for _ in range(count)]
+        self.quarantines = [Quarantine() for _ in range(count)]
         self.cut: set[int] = set()
 
     def crash(self, server: int, ran: dict[int, list[int]], now_s: float) -> None:
         """Let a server crash; `ran` maps each entry to the fingerprints of its requests there."""
         for number, fingerprints in ran.items():
             for one in fingerprints:
-                self.known[number].note_crash(one, server, now_s, is_own=True)
+                self.quarantines[number].note_crash(one, server, now_s, is_own=True)
         self.exchange(now_s)
 
     def exchange(self, now_s: float, *, is_full: bool = False) -> None:
         """Send each connected entry's records to all other connected ones."""
-        reached = [one for number, one in enumerate(self.known) if number not in self.cut]
+        reached = [one for number, one in enumerate(self.quarantines) if number not in self.cut]
         for sender in reached:
             news = sender.news(now_s, is_full=is_full)
             for receiver in reached:
@@ -54,7 +54,7 @@
 
     def quarantined(self, one: int, now_s: float) -> list[bool]:
         """Return for each entry whether a request is quarantined there."""
-        return [known.verdict(one, now_s) is not None for known in self.known]
+        return [quarantine.verdict(one, now_s) is not None for quarantine in self.quarantines]
 
 
 class _RunningRequest(NamedTuple):
@@ -115,10 +115,10 @@
             entries.crash(100 + number, {0: [HARMFUL]}, 10.0 + number)
         assert entries.quarantined(HARMFUL, 20.0) == [True, True, False]
         entries.cut = set()
-        entries.known.append(Quarantine())
+        entries.quarantines.append(Quarantine())
         entries.exchange(60.0, is_full=True)
         assert all(entries.quarantined(HARMFUL, 60.0))
-        left_s = entries.known[3].verdict(HARMFUL, 60.0).until_s - 60.0
+        left_s = entries.quarantines[3].verdict(HARMFUL, 60.0).until_s - 60.0
         assert left_s == pytest.approx(QUARANTINE_S - 48.0)
 
     def test_reaches_an_entry_through_the_sum_of_its_data_centre(self):
@@ -127,7 +127,7 @@
         near = Entries(3)
         for number in range(3):
             near.crash(100 + number, {number % 2: [HARMFUL]}, 10.0 + number * 0.1)
-        relay, far = near.known[2], Quarantine()
+        relay, far = near.quarantines[2], Quarantine()
         far.take(relay.news(10.3, is_full=False, includes_peers=True), 10.3)
         assert far.verdict(HARMFUL, 10.3) is not None
         assert far.crashes_under(HARMFUL, 10.3) == 3
@@ -140,24 +140,24 @@
         """A good prompt runs on the same two servers as a harmful one, which then crashes a third
         server. Guards against counting the two shared crashes against the good prompt when it is
         involved in a further one."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for server in (100, 101):
-            known.note_crash(HARMFUL, server, 10.0, is_own=True)
-            known.note_crash(GOOD, server, 10.0, is_own=True)
-        known.note_crash(HARMFUL, 102, 11.0, is_own=True)
-        assert known.crashes_under(GOOD, 13.0) == 0
-        assert known.note_crash(GOOD, 103, 13.0, is_own=True) is None
-        assert known.crashes_under(GOOD, 13.0) == 1
+            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
+        quarantine.note_crash(HARMFUL, 102, 11.0, is_own=True)
+        assert quarantine.crashes_under(GOOD, 13.0) == 0
+        assert quarantine.note_crash(GOOD, 103, 13.0, is_own=True) is None
+        assert quarantine.crashes_under(GOOD, 13.0) == 1
 
     def test_requests_that_always_ran_together_are_both_quarantined(self):
         """Guards against releasing both as explained by each other: the harmful one would crash
         three more servers."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for server in (100, 101, 102):
-            known.note_crash(GOOD, server, 10.0, is_own=True)
-            known.note_crash(HARMFUL, server, 10.0, is_own=True)
-        assert known.verdict(HARMFUL, 10.0) is not None
-        assert known.verdict(GOOD, 10.0) is not None
+            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
+            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+        assert quarantine.verdict(HARMFUL, 10.0) is not None
+        assert quarantine.verdict(GOOD, 10.0) is not None
 
     def test_answer_anywhere_clears_a_request(self):
         """A good prompt is involved in two crashes and answered by the third server, many times.
@@ -167,18 +167,18 @@
             now_s = 10.0 + 20 * round_number
             entries.crash(2 * round_number, {0: [GOOD]}, now_s)
             entries.crash(2 * round_number + 1, {1: [GOOD]}, now_s + 1)
-            entries.known[1].note_answered(GOOD, now_s + 2)
+            entries.quarantines[1].note_answered(GOOD, now_s + 2)
             entries.exchange(now_s + 2)
         assert not any(entries.quarantined(GOOD, 300.0))
-        assert entries.known[0].crashes_under(GOOD, 300.0) == 0
+        assert entries.quarantines[0].crashes_under(GOOD, 300.0) == 0
 
     def test_popular_body_is_not_quarantined_after_the_loss_of_a_rack(self):
         """Many callers send the same body, so that it runs on every server, and four servers fail
         together. Guards against counting these crashes separately and quarantining a body that was
         answered all day."""
         entries = Entries(3)
-        for known in entries.known[:2]:
-            known.note_answered(GOOD, 9.0)
+        for quarantine in entries.quarantines[:2]:
+            quarantine.note_answered(GOOD, 9.0)
         for server in range(4):
             entries.crash(100 + server, {server % 3: [GOOD]}, 10.0 + server * 0.05)
         entries.exchange(10.5)
@@ -200,20 +200,20 @@
         assert second.verdict(GOOD, 10.3) is None
 
     def test_verdict_received_before_its_crashes_is_refuted_by_them(self):
-        known = Quarantine()
-        known.note_answered(GOOD, 9.0)
-        assert known.apply_verdict(VerdictNews(GOOD, 600.0, 3), 10.1) is not None
+        quarantine = Quarantine()
+        quarantine.note_answered(GOOD, 9.0)
+        assert quarantine.apply_verdict(VerdictNews(GOOD, 600.0, 3), 10.1) is not None
         for server in range(3):
-            known.note_crash(GOOD, server, 10.2, age_s=0.2, is_own=False)
-        assert known.verdict(GOOD, 10.2) is None
+            quarantine.note_crash(GOOD, server, 10.2, age_s=0.2, is_own=False)
+        assert quarantine.verdict(GOOD, 10.2) is None
 
     def test_body_that_becomes_harmful_is_quarantined_despite_earlier_answers(self):
         """A new server version crashes while running a request that the old version answered."""
-        known = Quarantine()
-        known.note_answered(HARMFUL, 9.0)
+        quarantine = Quarantine()
+        quarantine.note_answered(HARMFUL, 9.0)
         for number in range(CRASHES_FOR_VERDICT):
-            known.note_crash(HARMFUL, number, 10.0 + 1.5 * number, is_own=True)
-        assert known.verdict(HARMFUL, 14.0) is not None
+            quarantine.note_crash(HARMFUL, number, 10.0 + 1.5 * number, is_own=True)
+        assert quarantine.verdict(HARMFUL, 14.0) is not None
 
     def test_few_good_requests_are_quarantined_in_a_busy_fleet(self):
         """Two harmful prompts crash one of 14 servers every 0.3 s until they are quarantined. Each
@@ -223,7 +223,7 @@
         draw = random.Random(5)
         wrong = involved = 0
         for _ in range(100):
-            known, running, involved_requests = Quarantine(), [], set()
+            quarantine, running, involved_requests = Quarantine(), [], set()
             for step in range(30):
                 running = [one for one in running if one.start_step > step - 7]
                 while len(running) < 14 * 6:
@@ -231,13 +231,13 @@
                         _RunningRequest(draw.getrandbits(60) + 10, draw.randrange(14), step)
                     )
                 now_s, harmful = 10.0 + step * 0.3, 1 + step % 2
-                if known.verdict(harmful, now_s):
+                if quarantine.verdict(harmful, now_s):
                     continue
                 crashed = draw.randrange(14)
-                known.note_crash(harmful, step, now_s, is_own=True)
+                quarantine.note_crash(harmful, step, now_s, is_own=True)
                 for one in [one for one in running if one.server == crashed]:
                     running.remove(one)
-                    known.note_crash(one.fingerprint, step, now_s, is_own=True)
+                    quarantine.note_crash(one.fingerprint, step, now_s, is_own=True)
                     involved_requests.add(one.fingerprint)
                     if one.tries < 3:
                         server = draw.randrange(14)
@@ -245,7 +245,7 @@
                             _RunningRequest(one.fingerprint, server, step, one.tries + 1)
                         )
             involved += len(involved_requests)
-            wrong += sum(known.verdict(one, now_s) is not None for one in involved_requests)
+            wrong += sum(quarantine.verdict(one, now_s) is not None for one in involved_requests)
         assert involved > 2000
         assert wrong <= 0.01 * involved
 
@@ -255,38 +255,38 @@
 
     def quarantined(self) -> Quarantine:
         """Return a quarantine with one verdict, given at 10 s."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for server in range(CRASHES_FOR_VERDICT):
-            known.note_crash(HARMFUL, server, 10.0, is_own=True)
-        return known
+            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+        return quarantine
 
     def test_expires_and_returns_after_one_more_crash(self):
-        known = self.quarantined()
+        quarantine = self.quarantined()
         end_s = 10.0 + QUARANTINE_S
-        assert known.verdict(HARMFUL, end_s - 0.1) is not None
-        assert known.verdict(HARMFUL, end_s) is None
-        (ended,) = known.forget_old(end_s)
+        assert quarantine.verdict(HARMFUL, end_s - 0.1) is not None
+        assert quarantine.verdict(HARMFUL, end_s) is None
+        (ended,) = quarantine.forget_old(end_s)
         assert ended.verdict.fingerprint == HARMFUL
-        assert known.note_crash(HARMFUL, 50, end_s + 5.0, is_own=True) is not None
+        assert quarantine.note_crash(HARMFUL, 50, end_s + 5.0, is_own=True) is not None
 
     def test_returns_after_a_crash_right_at_expiry(self):
         """The verdict has expired but hasn't been queried since."""
-        known = self.quarantined()
-        assert known.note_crash(HARMFUL, 50, 10.0 + QUARANTINE_S, is_own=True) is not None
+        quarantine = self.quarantined()
+        assert quarantine.note_crash(HARMFUL, 50, 10.0 + QUARANTINE_S, is_own=True) is not None
 
     def test_answer_ends_it_permanently(self):
         """An attempt that was in progress at the verdict is answered, so the verdict was wrong."""
-        known = self.quarantined()
-        assert known.note_answered(HARMFUL, 12.0)
-        assert known.verdict(HARMFUL, 12.0) is None
-        assert known.note_crash(HARMFUL, 50, 13.0, is_own=True) is None
+        quarantine = self.quarantined()
+        assert quarantine.note_answered(HARMFUL, 12.0)
+        assert quarantine.verdict(HARMFUL, 12.0) is None
+        assert quarantine.note_crash(HARMFUL, 50, 13.0, is_own=True) is None
 
     def test_lifted_verdict_is_not_accepted_again_from_a_peer(self):
-        known = self.quarantined()
-        assert known.lift(HARMFUL, 20.0)
+        quarantine = self.quarantined()
+        assert quarantine.lift(HARMFUL, 20.0)
         received = VerdictNews(HARMFUL, 590.0, 3)
-        assert known.apply_verdict(received, 20.5) is None
-        assert known.verdict(HARMFUL, 21.0) is None
+        assert quarantine.apply_verdict(received, 20.5) is None
+        assert quarantine.verdict(HARMFUL, 21.0) is None
 
     def test_expires_at_the_same_time_at_entries_that_learn_it_late(self):
         """A starting entry reads the verdict from the store and doesn't know its age. Guards
@@ -303,98 +303,102 @@
     def test_memory_and_datagrams_stay_bounded(self):
         """Each body is new and involved in two crashes, so that none is quarantined, while many
         other requests are answered."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for number in range(5000):
             now_s = 10.0 + number * 0.01
-            known.note_crash(number, 2 * number, now_s, is_own=True)
-            known.note_crash(number, 2 * number + 1, now_s, is_own=True)
-            known.note_answered(1_000_000 + number, now_s)
-        news = known.news(now_s, is_full=True)
+            quarantine.note_crash(number, 2 * number, now_s, is_own=True)
+            quarantine.note_crash(number, 2 * number + 1, now_s, is_own=True)
+            quarantine.note_answered(1_000_000 + number, now_s)
+        news = quarantine.news(now_s, is_full=True)
         assert len(news.crashes) == MAX_CRASHES_SENT
-        assert sum(known.crashes_under(number, now_s) > 0 for number in range(5000)) <= MAX_CASES
+        assert (
+            sum(quarantine.crashes_under(number, now_s) > 0 for number in range(5000)) <= MAX_CASES
+        )
 
     def test_number_of_verdicts_and_verdicts_sent_is_bounded(self):
-        known = Quarantine()
+        quarantine = Quarantine()
         for number in range(2 * MAX_VERDICTS):
             for server in range(CRASHES_FOR_VERDICT):
-                known.note_crash(number, 10 * number + server, 10.0 + number, is_own=True)
-        assert len(known) == MAX_VERDICTS
-        news = known.news(10.0 + 2 * MAX_VERDICTS, is_full=True)
+                quarantine.note_crash(number, 10 * number + server, 10.0 + number, is_own=True)
+        assert len(quarantine) == MAX_VERDICTS
+        news = quarantine.news(10.0 + 2 * MAX_VERDICTS, is_full=True)
         assert len(news.verdicts) == MAX_VERDICTS_SENT
         assert len(news.answers) <= MAX_ANSWERS_SENT
 
     def test_requests_with_most_crashes_are_evicted_last(self):
-        known = Quarantine()
+        quarantine = Quarantine()
         for server in (1, 2):
-            known.note_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
         for number in range(3 * MAX_CASES):
-            known.note_crash(100 + number, 1000 + number, 11.0, is_own=True)
-        assert known.note_crash(HARMFUL, 3, 12.0, is_own=True) is not None
+            quarantine.note_crash(100 + number, 1000 + number, 11.0, is_own=True)
+        assert quarantine.note_crash(HARMFUL, 3, 12.0, is_own=True) is not None
 
     def test_nothing_is_sent_without_crashes(self):
-        known = Quarantine()
+        quarantine = Quarantine()
         for number in range(100):
-            known.note_answered(number, 10.0)
-        assert known.news(10.0, is_full=True) is NO_NEWS
+            quarantine.note_answered(number, 10.0)
+        assert quarantine.news(10.0, is_full=True) is NO_NEWS
 
     def test_old_crashes_are_not_sent_and_then_removed(self):
-        known = Quarantine()
-        known.note_crash(OTHER, 1, 10.0, is_own=True)
-        assert known.news(10.1, is_full=False).crashes
-        assert not known.news(12.0, is_full=False).crashes
-        assert known.news(12.0, is_full=True).crashes
-        assert not known.news(10.0 + NEWS_REPEATED_S, is_full=True).crashes
-        known.forget_old(10.0 + CRASH_KEPT_S)
-        assert known.news(11.0 + CRASH_KEPT_S, is_full=True) is NO_NEWS
+        quarantine = Quarantine()
+        quarantine.note_crash(OTHER, 1, 10.0, is_own=True)
+        assert quarantine.news(10.1, is_full=False).crashes
+        assert not quarantine.news(12.0, is_full=False).crashes
+        assert quarantine.news(12.0, is_full=True).crashes
+        assert not quarantine.news(10.0 + NEWS_REPEATED_S, is_full=True).crashes
+        quarantine.forget_old(10.0 + CRASH_KEPT_S)
+        assert quarantine.news(11.0 + CRASH_KEPT_S, is_full=True) is NO_NEWS
 
 
 class TestPresumedCrashes:
     """Uncertain crashes: the address still accepts connections but closes them at once."""
 
-    def presumed(self, known: Quarantine, now_s: float) -> list[float]:
+    def presumed(self, quarantine: Quarantine, now_s: float) -> list[float]:
         """Record three presumed crashes; return the duration of each resulting verdict."""
         found = [
-            known.note_crash(HARMFUL, server, now_s, is_own=True, is_presumed=True)
+            quarantine.note_crash(HARMFUL, server, now_s, is_own=True, is_presumed=True)
             for server in (100, 101, 102)
         ]
         return [verdict.until_s - now_s for verdict in found if verdict is not None]
 
     def test_lead_to_a_short_verdict_that_expires_unless_confirmed(self):
         """Guards against refusing a good request for long when a link resets connections."""
-        known = Quarantine()
-        assert self.presumed(known, 10.0) == [PRESUMED_CRASH_KEPT_S]
-        assert known.verdict(HARMFUL, 14.9) is not None
-        assert known.verdict(HARMFUL, 15.0) is None
-        assert known.crashes_under(HARMFUL, 15.0) == 0
-        assert known.note_crash(HARMFUL, 103, 16.0, is_own=True) is None
+        quarantine = Quarantine()
+        assert self.presumed(quarantine, 10.0) == [PRESUMED_CRASH_KEPT_S]
+        assert quarantine.verdict(HARMFUL, 14.9) is not None
+        assert quarantine.verdict(HARMFUL, 15.0) is None
+        assert quarantine.crashes_under(HARMFUL, 15.0) == 0
+        assert quarantine.note_crash(HARMFUL, 103, 16.0, is_own=True) is None
 
     @pytest.mark.parametrize("confirmed_s", [12.0, 17.0])
     def test_lead_to_a_full_verdict_when_confirmed(self, confirmed_s):
-        known = Quarantine()
-        self.presumed(known, 10.0)
+        quarantine = Quarantine()
+        self.presumed(quarantine, 10.0)
         for server in (100, 101):
-            assert known.note_crash(HARMFUL, server, confirmed_s, age_s=2.0, is_own=True) is None
-        verdict = known.note_crash(HARMFUL, 102, confirmed_s, age_s=2.0, is_own=True)
+            assert (
+                quarantine.note_crash(HARMFUL, server, confirmed_s, age_s=2.0, is_own=True) is None
+            )
+        verdict = quarantine.note_crash(HARMFUL, 102, confirmed_s, age_s=2.0, is_own=True)
         assert verdict.until_s == confirmed_s + QUARANTINE_S
-        assert not known.verdict(HARMFUL, confirmed_s).is_presumed
+        assert not quarantine.verdict(HARMFUL, confirmed_s).is_presumed
 
     def test_are_sent_to_peers_which_reach_the_same_verdict(self):
         """Guards against each entry running the request until three of its own servers crash."""
-        known, peer = Quarantine(), Quarantine()
-        self.presumed(known, 10.0)
-        news = known.news(10.1, is_full=False)
+        quarantine, peer = Quarantine(), Quarantine()
+        self.presumed(quarantine, 10.0)
+        news = quarantine.news(10.1, is_full=False)
         assert not news.verdicts
         (verdict,) = peer.take(news, 10.1)
         assert verdict.is_presumed
         for server in (100, 101, 102):
-            known.note_crash(HARMFUL, server, 12.0, is_own=True)
-        peer.take(known.news(12.1, is_full=False), 12.1)
+            quarantine.note_crash(HARMFUL, server, 12.0, is_own=True)
+        peer.take(quarantine.news(12.1, is_full=False), 12.1)
         assert not peer.verdict(HARMFUL, 12.1).is_presumed
 
     def test_do_not_explain_certain_crashes(self):
         """Guards against lifting a verdict because of a crash that may not have happened."""
-        known = Quarantine()
+        quarantine = Quarantine()
         for server in (200, 201, 202):
-            known.note_crash(GOOD, server, 10.0, is_own=True)
-            known.note_crash(HARMFUL, server, 10.0, is_own=True, is_presumed=True)
-        assert known.verdict(GOOD, 11.5) is not None
+            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
+            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True, is_presumed=True)
+        assert quarantine.verdict(GOOD, 11.5) is not None
