--- a/packages/proxy/src/sassafrastally/proxy/answering.py
+++ b/packages/proxy/src/sassafrastally/proxy/answering.py
@@ -11,7 +11,7 @@
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.callers import Callers
-from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, watch_silence
+from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
 from sassafrastally.proxy.log_events import ReadinessChanged
 from sassafrastally.proxy.metrics import metrics_page, start_metrics
 from sassafrastally.proxy.peer_messages import encode_delta
@@ -109,7 +109,7 @@
 
 
 async def _serve(stream: trio.abc.Stream, answerer: Answerer) -> None:
-    watch_silence(stream)
+    enable_keepalive(stream)
     connection = HttpStream(stream, h11.SERVER)
     try:
         with trio.CancelScope() as idle:
--- a/packages/proxy/src/sassafrastally/proxy/callers.py
+++ b/packages/proxy/src/sassafrastally/proxy/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests are read, checked and handed to the request path."""
+"""Caller connections: reads and validates requests and passes them to the request path."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.early_listener import BACKLOG
-from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, watch_silence
+from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
 from sassafrastally.proxy.log_events import ConnectionCrashed, ProcessDraining, RequestMalformed
 from sassafrastally.proxy.model import RequestLimits
 from sassafrastally.proxy.path import RequestPath
@@ -33,44 +33,46 @@
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.settings import ProxySettings
 
-FIRST_LIMITS = RequestLimits(
+DEFAULT_LIMITS = RequestLimits(
     header_bytes=16_384, body_bytes=4_194_304, header_time_s=3.0, idle_time_s=15.0
 )
-"""Limits until a configuration is known; the usual ones of operators."""
+"""Limits used until a configuration is loaded; they match the usual operator settings."""
 
 ACCEPT_AFTER_SIGNAL_S = 2.6
-"""The balancer asks for readiness each second and takes a VM out after two misses, so new
-connections come for a little over two seconds after the signal to stop."""
+"""New connections are accepted until this long after the stop signal. The load balancer checks
+readiness every second and removes a VM after two failed checks, so new connections keep arriving
+for a little over two seconds."""
 
-LAST_REQUEST_S = 2.9
-"""Requests on kept connections are taken until this long after the signal to stop; after that the
-idle ones are closed. A request that is sent just before the end would be cut with the process."""
+LAST_REQUEST_AFTER_SIGNAL_S = 2.9
+"""Requests on keep-alive connections are accepted until this long after the stop signal. Then idle
+connections are closed: a request sent just before the process exits would be cut off."""
 
-TRACE_FRAMES = 12
-"""Frames of a fault's trace in the log; the innermost ones name its place."""
+MAX_TRACEBACK_FRAMES = 12
+"""Maximum number of traceback frames logged for an unexpected exception; the innermost ones show
+where it was raised."""
 
-STOP_MARGIN_S = 0.5
-"""Time left between the last answer and the kill."""
+KILL_MARGIN_S = 0.5
+"""Time reserved between the end of the drain and the moment the process is killed."""
 
 
 class BadRequest(NamedTuple):
-    """Why a request is turned away before it is understood."""
+    """Why a request is rejected before it is fully parsed."""
 
     refusal: Refusal
     problem: str
 
 
 class Callers(Service):
-    """Accepts callers' connections.
+    """Accepts caller connections and serves their requests.
 
     Parameters
     ----------
     settings
-        Addresses and bounds of the process.
+        Addresses and limits of the process.
     dialect
-        Translator of headers.
+        Translates headers.
     listener
-        The port, if it is open already.
+        Listening socket, if it is already open.
     """
 
     name: ClassVar[str] = "callers"
@@ -80,17 +82,17 @@
         self, settings: ProxySettings, dialect: Dialect, listener: socket.socket | None = None
     ) -> None:
         self.open_requests = 0
-        """Requests that were read and have no complete answer yet."""
+        """Number of in-flight requests: read, but without a complete response."""
         self._settings = settings
         self._dialect = dialect
         self._open_listener = listener
-        self._stopping_since_s: float | None = None
-        self._reading: set[trio.CancelScope] = set()
+        self._stop_requested_s: float | None = None
+        self._idle_scopes: set[trio.CancelScope] = set()
         self._is_closing_idle = False
         self._listener_scope = trio.CancelScope()
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Listen."""
+        """Start accepting connections."""
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         self._path = self.kernel.get("path", RequestPath)
         nursery.start_soon(self._listen, [await self._listener()], nursery)
@@ -103,74 +105,77 @@
         return listeners[0]
 
     async def stop(self) -> None:
-        """Finish what runs.
+        """Drain: stop accepting work and finish in-flight requests.
 
-        The balancer still sends callers for a while, and callers go on using open connections.
-        Both are served until they had time to move; then idle connections are closed, and the
-        process waits for answers under way.
+        For a while, the load balancer still routes new connections here and callers keep using open
+        ones. Both are served until they have had time to move to another VM. Then idle connections
+        are closed and the process waits for in-flight responses.
         """
-        begin_s = self.kernel.clock.now_s()
-        self._stopping_since_s = begin_s
+        stop_begin_s = self.kernel.clock.now_s()
+        self._stop_requested_s = stop_begin_s
         stop_time_s = self._settings.bounds.stop_time_s
         self.kernel.events.emit(ProcessDraining(self.open_requests, stop_time_s))
         await trio.sleep(ACCEPT_AFTER_SIGNAL_S)
         self._listener_scope.cancel()
-        await trio.sleep_until(begin_s + LAST_REQUEST_S)
+        await trio.sleep_until(stop_begin_s + LAST_REQUEST_AFTER_SIGNAL_S)
         self._is_closing_idle = True
-        for scope in list(self._reading):
+        for scope in list(self._idle_scopes):
             scope.cancel()
-        with trio.move_on_at(begin_s + stop_time_s - STOP_MARGIN_S):
+        with trio.move_on_at(stop_begin_s + stop_time_s - KILL_MARGIN_S):
             while self.open_requests:
                 await trio.sleep(0.02)
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the process was asked to stop."""
-        return self._stopping_since_s is not None
+        """Whether the process has been asked to stop."""
+        return self._stop_requested_s is not None
 
     async def _listen(
         self, listeners: list[trio.SocketListener], connections: trio.Nursery
     ) -> None:
-        # Connections run in the kernel's nursery, so that they outlive the listener at a stop.
+        # Connections run in the kernel's nursery so that they outlive the listener during shutdown.
         with self._listener_scope:
             await trio.serve_listeners(self.serve, listeners, handler_nursery=connections)
 
     async def serve(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection until it ends."""
-        watch_silence(stream)
+        """Serve one connection until it closes."""
+        enable_keepalive(stream)
         limits = self._limits()
         connection = HttpStream(stream, h11.SERVER, limits.header_bytes)
         try:
             while await self._serve_request(connection):
                 connection.http.start_next_cycle()
         except ConnectionLost:
-            # The caller has gone; whatever ran for it was logged and cancelled by the path.
+            # The caller disconnected; the request path has logged and cancelled its request.
             return
         except Exception:
-            # A fault of the program met by one request would otherwise end the process and with it
-            # the answers of all other callers. This caller's connection is closed without an end.
-            self.kernel.events.emit(ConnectionCrashed(traceback.format_exc(limit=TRACE_FRAMES)))
+            # Without this handler, an unexpected exception in one request would end the process and
+            # with it the responses of all other callers. Only this connection is closed, without
+            # completing its response.
+            self.kernel.events.emit(
+                ConnectionCrashed(traceback.format_exc(limit=MAX_TRACEBACK_FRAMES))
+            )
         finally:
             await connection.close()
 
     def _limits(self) -> RequestLimits:
         configuration = self._beliefs.configuration
-        return configuration.limits if configuration else FIRST_LIMITS
+        return configuration.limits if configuration else DEFAULT_LIMITS
 
     async def _serve_request(self, connection: HttpStream) -> bool:
-        """Serve one request; return whether the connection can take another."""
+        """Serve one request and return whether the connection can be reused."""
         reply = Reply(connection, lambda: self.is_stopping)
         try:
             request = await self._read_request(connection)
         except h11.RemoteProtocolError as cause:
             too_large = cause.error_status_hint == HEADER_TOO_LARGE.status
             refusal = HEADER_TOO_LARGE if too_large else MALFORMED
-            await self._turn_away(reply, BadRequest(refusal, str(cause)))
+            await self._reject(reply, BadRequest(refusal, str(cause)))
             return False
         if request is None:
             return False
         if isinstance(request, BadRequest):
-            await self._turn_away(reply, request)
+            await self._reject(reply, request)
             return False
         self.open_requests += 1
         try:
@@ -182,31 +187,33 @@
     async def _answer(self, connection: HttpStream, request: Request, reply: Reply) -> None:
         failure: Exception | None = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_departure, connection, nursery.cancel_scope)
+            nursery.start_soon(self._watch_disconnect, connection, nursery.cancel_scope)
             try:
                 await self._path.answer(request, reply)
             except Exception as cause:
-                # Carried out of the nursery, which would wrap it in a group.
+                # Raised outside the nursery, which would wrap it in an exception group.
                 failure = cause
             nursery.cancel_scope.cancel()
         if failure is not None:
             raise failure
 
-    async def _watch_departure(self, connection: HttpStream, answering: trio.CancelScope) -> None:
-        """Stop answering when the caller closes its connection.
+    async def _watch_disconnect(
+        self, connection: HttpStream, answer_scope: trio.CancelScope
+    ) -> None:
+        """Cancel the response when the caller closes its connection.
 
-        A caller that sends its next request early is left alone: what it sent is kept, and its
-        departure then shows when the answer is written.
+        If the caller pipelines its next request instead, the received bytes are kept and the
+        watching ends. A later disconnect is then detected when the response is written.
         """
         try:
-            goes_on = await connection.receive_bytes()
+            is_open = await connection.receive_bytes()
         except ConnectionLost:
-            goes_on = False
-        if not goes_on:
-            answering.cancel()
+            is_open = False
+        if not is_open:
+            answer_scope.cancel()
 
     async def _read_request(self, connection: HttpStream) -> Request | BadRequest | None:
-        """Return the next request; ``None`` when the connection ends between requests."""
+        """Return the next request, or ``None`` if the connection closes between requests."""
         limits = self._limits()
         if not await self._wait_for_bytes(connection, limits.idle_time_s):
             return None
@@ -219,19 +226,19 @@
         return BadRequest(TOO_SLOW, f"not complete after {limits.header_time_s} s")
 
     async def _wait_for_bytes(self, connection: HttpStream, idle_time_s: float) -> bool:
-        """Return whether a request begins; cancelled when idle connections are closed."""
+        """Return whether a request begins; cancelled when the drain closes idle connections."""
         if connection.http.trailing_data[0]:
             return True
         if self._is_closing_idle:
             return False
         with trio.move_on_after(idle_time_s) as scope:
-            self._reading.add(scope)
+            self._idle_scopes.add(scope)
             try:
                 return await connection.receive_bytes()
             except ConnectionLost:
                 return False
             finally:
-                self._reading.discard(scope)
+                self._idle_scopes.discard(scope)
         return False
 
     async def _read_body(
@@ -239,7 +246,7 @@
     ) -> Request | BadRequest:
         headers: Headers = list(head.headers)
         if _header_size(head) > limits.header_bytes:
-            # The parser only bounds what it waits for, not a header that arrives at once.
+            # h11 limits only an incomplete header, not one that arrives in a single read.
             return BadRequest(HEADER_TOO_LARGE, f"over {limits.header_bytes} bytes")
         problem = _framing_problem(headers)
         if problem:
@@ -265,28 +272,28 @@
             return BadRequest(MALFORMED, cause.detail)
         return Request(head.method, head.target, headers, bytes(body), facts, arrived_s)
 
-    async def _turn_away(self, reply: Reply, bad: BadRequest) -> None:
-        self.kernel.events.emit(RequestMalformed(bad.refusal.status, bad.problem))
-        body = refusal_body(bad.refusal, "", bad.problem)
+    async def _reject(self, reply: Reply, rejected: BadRequest) -> None:
+        self.kernel.events.emit(RequestMalformed(rejected.refusal.status, rejected.problem))
+        body = refusal_body(rejected.refusal, "", rejected.problem)
         await reply.whole(
-            bad.refusal.status,
+            rejected.refusal.status,
             [(b"content-type", b"application/problem+json"), (b"connection", b"close")],
             body,
         )
 
 
 def _header_size(head: h11.Request) -> int:
-    """Return the bytes of a header as they stood on the wire, about."""
+    """Return the approximate size of a header on the wire, in bytes."""
     separators = len(": \r\n")
     fields = sum(len(name) + len(value) + separators for name, value in head.headers)
     return len(head.method) + len(head.target) + fields
 
 
 def _framing_problem(headers: Headers) -> str:
-    """Return what is wrong with the declared length of a body.
+    """Return what is wrong with the framing or the host of a request; empty if nothing is.
 
-    A request with both a length and chunks is read differently by different servers; what one
-    takes for the body, another takes for a further request.
+    Servers disagree on how to read a request with both a content length and a transfer encoding:
+    what one reads as the body, another reads as a second request (request smuggling).
     """
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
--- a/packages/proxy/src/sassafrastally/proxy/early_listener.py
+++ b/packages/proxy/src/sassafrastally/proxy/early_listener.py
@@ -1,9 +1,9 @@
-"""Opens the callers' port before the rest of the program is loaded.
+"""Opens the port for callers before the rest of the program is imported.
 
-Loading takes about 0.2 s of processor time. While nobody listens, callers that come back after a
-restart are turned away by the kernel and give up; with the port open their connections wait in the
-accept queue and are served as soon as the process runs. So this module imports nothing of the
-project and little of the standard library.
+Importing takes about 0.2 s of CPU time. While no socket listens, the operating system refuses
+callers that reconnect after a restart, and they give up. With the port open, their connections wait
+in the accept queue and are served as soon as the process runs. For this reason the module imports
+nothing from the project and little from the standard library.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import socket
 
 BACKLOG = 512
-"""Connections that wait to be accepted: a burst of all of a data centre's callers at once."""
+"""Length of the accept queue: enough for all callers of a data centre connecting at once."""
 
 
 def listen_early(host: str, port: int) -> socket.socket | None:
-    """Return a listening socket; ``None`` when the port can't be had yet."""
+    """Return a listening socket, or ``None`` if the port can't be bound yet."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.setblocking(False)
@@ -23,7 +23,7 @@
         listener.bind((host, port))
         listener.listen(BACKLOG)
     except OSError:
-        # The regular start tries again and reports the error.
+        # The regular startup tries again and reports the error.
         listener.close()
         return None
     return listener
--- a/packages/proxy/src/sassafrastally/proxy/event_stream.py
+++ b/packages/proxy/src/sassafrastally/proxy/event_stream.py
@@ -1,4 +1,4 @@
-"""Events of a ``text/event-stream`` body, cut out of the bytes as they arrive."""
+"""Incremental splitting of a ``text/event-stream`` body into server-sent events."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 EVENT_END = b"\n\n"
 ID_FIELD = b"id:"
 
-MOST_EVENT_BYTES = 1_048_576
-"""Bytes of an event that isn't complete; beyond it the stream is broken. An event of a model
-engine has some hundred bytes."""
+MAX_EVENT_BYTES = 1_048_576
+"""Maximum size of an incomplete event; a larger one is treated as a broken stream. Events of model
+engines have a few hundred bytes."""
 
 
 class StreamEvent(NamedTuple):
     """One complete event."""
 
     data: bytes
-    """Its bytes, the blank line at its end included."""
+    """Bytes of the event, including the blank line at its end."""
     event_id: int | None
 
 
 class EventSplitter:
-    """Cuts a body into events; keeps the incomplete one at the end."""
+    """Splits a body into events and buffers an incomplete event at the end."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -32,16 +32,16 @@
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete with these bytes.
+        """Add bytes and return the events that they complete.
 
         Raises
         ------
         ValueError
-            When an event grows too large.
+            If an incomplete event exceeds the maximum size.
         """
         *complete, self._rest = (self._rest + data).split(EVENT_END)
-        if len(self._rest) > MOST_EVENT_BYTES:
-            raise ValueError("an event grows too large")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise ValueError("incomplete event exceeds the maximum size")
         return [StreamEvent(block + EVENT_END, _event_id(block)) for block in complete]
 
 
--- a/packages/proxy/src/sassafrastally/proxy/http_stream.py
+++ b/packages/proxy/src/sassafrastally/proxy/http_stream.py
@@ -14,22 +14,23 @@
     from sassafrastally.core import Address
 
 RECEIVE_BYTES = 65_536
-"""Most bytes taken from a connection at once; the usual size of a socket's buffer."""
+"""Maximum number of bytes read from a connection at once: the usual size of a socket buffer."""
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-UNACKNOWLEDGED_MS = 3000
-"""A peer that lost power or is cut off sends no reset. Probes after a second of silence end such a
-connection after about three seconds, well inside the shortest time limits of routes."""
+UNACKNOWLEDGED_TIMEOUT_MS = 3000
+"""A peer that loses power or network connectivity sends no reset. TCP keepalive probes after one
+second of silence end such a connection after about three seconds, well within the shortest route
+time limits."""
 
 
 @error(10004)
 class ConnectionLost(CodedError):
-    """The connection ended, or carried bytes that aren't HTTP."""
+    """The connection ended or received bytes that aren't valid HTTP."""
 
     is_refused = False
-    """Whether the host answered that nobody listens there."""
+    """Whether the host refused the connection because no process listens on the port."""
 
 
 class HttpStream:
@@ -38,11 +39,11 @@
     Parameters
     ----------
     stream
-        The connection; owned from here on.
+        Byte stream of the connection; owned by this object.
     role
         ``h11.CLIENT`` or ``h11.SERVER``.
     header_bytes
-        Largest header that is taken.
+        Maximum size of a header.
     """
 
     def __init__(
@@ -60,9 +61,9 @@
         Raises
         ------
         ConnectionLost
-            When the connection is reset.
+            If the connection is reset.
         h11.RemoteProtocolError
-            When the peer's bytes aren't HTTP.
+            If the peer sends bytes that aren't valid HTTP.
         """
         while True:
             event = self.http.next_event()
@@ -72,7 +73,7 @@
                 return event
 
     async def receive_bytes(self) -> bool:
-        """Take what has arrived, or wait for it; return whether the peer goes on sending."""
+        """Receive bytes, waiting if necessary; return ``False`` at the end of the stream."""
         try:
             data = await self.stream.receive_some(RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as cause:
@@ -81,19 +82,19 @@
         return bool(data)
 
     async def send(self, *events: h11.Event) -> None:
-        """Send events in one write; raises `ConnectionLost`."""
+        """Send events in a single write; raises `ConnectionLost`."""
         data = b"".join(self.http.send(event) or b"" for event in events)
         await self.send_bytes(data)
 
     async def send_bytes(self, data: bytes) -> None:
-        """Send bytes that h11 has coded; raises `ConnectionLost`."""
+        """Send bytes that h11 has encoded; raises `ConnectionLost`."""
         try:
             await self.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as cause:
             raise ConnectionLost(f"reset while sending: {cause!r}") from cause
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes or an end wait at the socket, where none are due."""
+        """Return whether unexpected bytes or the end of the stream can be read from the socket."""
         if self.http.trailing_data[0]:
             return True
         if isinstance(self.stream, trio.SocketStream):
@@ -101,19 +102,19 @@
         return False
 
     async def close(self) -> None:
-        """Close the connection at once, without a farewell."""
+        """Close the connection immediately, without a graceful shutdown."""
         await trio.aclose_forcefully(self.stream)
 
 
-def watch_silence(stream: trio.abc.Stream) -> None:
-    """Let the kernel end a TCP connection whose peer has gone silent for good."""
+def enable_keepalive(stream: trio.abc.Stream) -> None:
+    """Enable TCP keepalive so that the OS closes a connection whose peer has disappeared."""
     if not isinstance(stream, trio.SocketStream):
         return
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
 
 
 async def connect(address: Address, time_limit_s: float) -> trio.abc.Stream:
@@ -122,7 +123,7 @@
     Raises
     ------
     ConnectionLost
-        When nobody answers in time.
+        If the connection can't be established in time.
     """
     try:
         with trio.fail_after(time_limit_s):
@@ -137,5 +138,5 @@
         lost.is_refused = isinstance(cause, ConnectionRefusedError)
         raise lost from cause
     stream = trio.SocketStream(sock)
-    watch_silence(stream)
+    enable_keepalive(stream)
     return stream
