--- a/packages/proxy/src/sassafrastally/proxy/answerer.py
+++ b/packages/proxy/src/sassafrastally/proxy/answerer.py
@@ -1,4 +1,4 @@
-"""What all ways to answer a request share: counting attempts, the budget of repeats, the log."""
+"""Base class of request handlers: counts attempts, charges the retry budget and logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sassafrastally.proxy.metrics import ATTEMPTS_FAILED
 from sassafrastally.proxy.model import AttemptTerms
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, QUARANTINED, SERVERS_LIMITED, TURNED_AWAY
-from sassafrastally.proxy.task import Progress, RequestTask, Stopped
+from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
 from sassafrastally.proxy.turning_away import LEAST_S, come_back_after_s
 
 if TYPE_CHECKING:
@@ -25,28 +25,28 @@
     from sassafrastally.proxy.refusals import Refusal
     from sassafrastally.proxy.reply import Reply
 
-SERVER_ERROR = 500
-"""Statuses from here on are a backend server's failure."""
+SERVER_ERROR_STATUS = 500
+"""Lowest HTTP status that means that the backend server failed."""
 
-NO_SUCCESS = 300
-"""Statuses from here on tell of no success."""
+NON_SUCCESS_STATUS = 300
+"""Lowest HTTP status that doesn't mean success."""
 
-MOST_UNREACHABLE = 3
-"""Servers that nobody answers at, after which a request is turned away: then it is not the servers
-but this VM's network that is broken."""
+MAX_UNREACHABLE_SERVERS = 3
+"""Number of unreachable servers after which a request is rejected. So many connection failures mean
+that this VM's network is broken rather than the servers."""
 
 
 class Answerer:
-    """Answers one request by attempts at backend servers.
+    """Handles one request by sending attempts to backend servers.
 
     Parameters
     ----------
     services
-        What answers are made with.
+        Services shared by all request handlers.
     task
         The request.
     reply
-        Where the answer goes.
+        Sends the response to the caller.
     """
 
     def __init__(self, services: AnswerServices, task: RequestTask, reply: Reply) -> None:
@@ -57,34 +57,34 @@
         self._clock = services.kernel.clock
         self._emit = services.kernel.events.emit
 
-    async def run(self) -> Stopped | None:
-        """Answer the request; return why it wasn't answered, or not to the end."""
+    async def run(self) -> LocalReply | None:
+        """Handle the request; return a local reply if there is no complete response."""
         raise NotImplementedError
 
     @property
     def _request_id(self) -> str:
         return self._task.request.facts.request_id
 
-    def _not_run(self, refusal: Refusal, detail: str) -> Stopped:
-        """Return how a request ends that hasn't run, with a moment at which to come back.
+    def _reply_not_run(self, refusal: Refusal, detail: str) -> LocalReply:
+        """Return the local reply for a request that hasn't run, with a retry delay.
 
         Parameters
         ----------
         refusal, detail
-            Why, unless it is that no server wants a request now.
+            The reason; replaced if all servers are rate limited or cooling down.
         """
         service = self._task.service
         time_left_s = self._task.time_left_s(self._clock.now_s())
-        room_in_s = self._services.sight.come_back_s(service, time_left_s)
-        if room_in_s is None:
-            draw = self._services.kernel.random.random()
-            return Stopped(refusal, detail, come_back_after_s(time_left_s, draw))
+        available_in_s = self._services.sight.come_back_s(service, time_left_s)
+        if available_in_s is None:
+            random_share = self._services.kernel.random.random()
+            return LocalReply(refusal, detail, come_back_after_s(time_left_s, random_share))
         refusal = TURNED_AWAY if self.progress.attempts else SERVERS_LIMITED
-        detail = f"service {service}: the next one takes a request in {room_in_s:.2f} s"
-        return Stopped(refusal, detail, max(LEAST_S, room_in_s))
+        detail = f"service {service}: the next one takes a request in {available_in_s:.2f} s"
+        return LocalReply(refusal, detail, max(LEAST_S, available_in_s))
 
-    def _quarantined(self) -> Stopped | None:
-        """Return how the request ends if it is quarantined."""
+    def _quarantine_reply(self) -> LocalReply | None:
+        """Return the local reply if the request is quarantined."""
         verdict = self._services.quarantine.verdict(self._task.fingerprint)
         if verdict is None:
             return None
@@ -96,38 +96,38 @@
             f"{verdict.until_s - now_s:.0f} s"
         )
         if self.progress.may_have_run:
-            return Stopped(MAY_HAVE_RUN, detail)
-        return Stopped(QUARANTINED, detail, verdict.come_back_after_s(now_s))
+            return LocalReply(MAY_HAVE_RUN, detail)
+        return LocalReply(QUARANTINED, detail, verdict.come_back_after_s(now_s))
 
     def _is_suspect(self) -> bool:
-        """Return whether a server has crashed under the request, for whatever reason."""
+        """Return whether a server has crashed while running the request, whatever the cause."""
         return self._services.quarantine.crashes_under(self._task.fingerprint) > 0
 
-    def _dealt(self, views: Sequence[ServerView]) -> list[ServerView]:
-        """Return the server for a request with crashes, apart from what crashed with it."""
+    def _isolate(self, views: Sequence[ServerView]) -> list[ServerView]:
+        """Return the server for a suspect request, isolated from requests that crashed with it."""
         fingerprint = self._task.fingerprint
         return dealt_server(
             views, fingerprint, self._services.quarantine.suspects_with(fingerprint)
         )
 
-    def _note_harmless(self, status: int) -> None:
-        """Note a whole answer: what crashes servers brings no success."""
-        if status < NO_SUCCESS:
+    def _record_success(self, status: int) -> None:
+        """Record a complete, successful response: the request doesn't crash servers."""
+        if status < NON_SUCCESS_STATUS:
             self._services.quarantine.note_answered(self._task.fingerprint)
 
-    def _can_go_elsewhere(self) -> bool:
-        """Return whether the request may still be sent to another server."""
+    def _can_fail_over(self) -> bool:
+        """Return whether the request may still fail over to another server."""
         route = self._task.route
         return route.is_repeatable and self.progress.sent < route.max_attempts
 
-    def _terms(
+    def _attempt_terms(
         self,
         server: BackendServer,
         begin_s: float,
         last_event_id: int | None,
         helpers: tuple[Helper, ...] = (),
     ) -> AttemptTerms:
-        """Return what is set for an attempt."""
+        """Return the parameters of an attempt."""
         return AttemptTerms(
             server=server,
             time_left_s=self._task.time_left_s(begin_s),
@@ -145,18 +145,18 @@
         for helper in helpers:
             self._services.backpressure.count_part(helper)
 
-    def _may_try_again(self) -> bool:
-        """Return whether another attempt is allowed; counts it in the budget."""
+    def _claim_retry(self) -> bool:
+        """Return whether another attempt is allowed, and charge it to the retry budget."""
         route = self._task.route
         if self.progress.may_have_run and not route.is_repeatable:
             return False
         if self.progress.sent >= route.max_attempts:
             return False
         if self.progress.unreachable > 0 and self.progress.sent == 0:
-            return self.progress.unreachable < MOST_UNREACHABLE
-        return self._take_from_budget()
+            return self.progress.unreachable < MAX_UNREACHABLE_SERVERS
+        return self._charge_retry_budget()
 
-    def _take_from_budget(self) -> bool:
+    def _charge_retry_budget(self) -> bool:
         service = self._task.service
         now_s = self._clock.now_s()
         budget = self._services.budget
@@ -173,25 +173,25 @@
         )
         return False
 
-    def _note_not_run(
+    def _record_not_run(
         self,
         server: BackendServer,
         begin_s: float,
         cause: AttemptNotRun,
         helpers: tuple[BackendServer, ...] = (),
     ) -> None:
-        """Note an attempt that certainly didn't run."""
+        """Record an attempt that certainly didn't run."""
         self.progress.pending = None
         if cause.is_unreachable:
-            # Nothing was sent, so it counts neither as an attempt nor as a repeat.
+            # Nothing was sent, so it counts neither as an attempt nor as a retry.
             self.progress.sent -= 1
             self.progress.unreachable += 1
         self._log_failure(server, begin_s, cause.detail, is_proved_not_run=True)
-        # Looked for among the servers that were asked to help: one that has started again at the
-        # same address since is not at fault.
+        # Only the helpers of this attempt can be at fault: a server that has since restarted at the
+        # same address isn't.
         at_fault = [helper for helper in helpers if helper.address == cause.server_at_fault]
         for helper in at_fault:
-            reason = "named as the cause by another server"
+            reason = "reported as the cause by another server"
             self._services.sight.note_refusal(helper, reason, self._request_id, is_clear=True)
         if at_fault or not cause.is_servers_fault:
             return
@@ -200,12 +200,12 @@
         else:
             self._services.sight.note_refusal(server, cause.detail, self._request_id)
 
-    async def _note_unknown(
+    async def _record_unknown(
         self, server: BackendServer, begin_s: float, cause: AttemptUnknown | str
     ) -> None:
-        """Note an attempt that may have run, and that speaks against its server."""
+        """Record an attempt that may have run and count it as a failure of its server."""
         detail = cause if isinstance(cause, str) else cause.detail
-        self._note_given_up(server, begin_s, detail)
+        self._record_abandoned(server, begin_s, detail)
         sight, crashes = self._services.sight, self._services.crashes
         if isinstance(cause, str):
             sight.note_failure(server, detail, self._request_id)
@@ -217,8 +217,8 @@
             sight.note_failure(server, detail, self._request_id)
             await crashes.note_broken_off(server, self._task, detail)
 
-    def _note_given_up(self, server: BackendServer, begin_s: float, detail: str) -> None:
-        """Note an attempt that may have run."""
+    def _record_abandoned(self, server: BackendServer, begin_s: float, detail: str) -> None:
+        """Record and log an attempt that may have run."""
         self.progress.pending = None
         self.progress.may_have_run = True
         self._log_failure(server, begin_s, detail, is_proved_not_run=False)
--- a/packages/proxy/src/sassafrastally/proxy/generation.py
+++ b/packages/proxy/src/sassafrastally/proxy/generation.py
@@ -1,4 +1,4 @@
-"""A stream of events from a model engine, passed on as it arrives and continued when it breaks."""
+"""Streaming requests to model engines, resumed on another engine when a stream breaks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.answerer import SERVER_ERROR, Answerer
+from sassafrastally.proxy.answerer import SERVER_ERROR_STATUS, Answerer
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.event_stream import EventSplitter, StreamEvent
 from sassafrastally.proxy.lanes import Scatter, lane_of
@@ -23,7 +23,7 @@
 from sassafrastally.proxy.pools import stays_near
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_ROOM, NO_SERVER, TOO_LONG, TURNED_AWAY
 from sassafrastally.proxy.slowness import slow_event_time_s
-from sassafrastally.proxy.task import RequestTask, Stopped
+from sassafrastally.proxy.task import LocalReply, RequestTask
 from sassafrastally.proxy.turning_away import is_hopeless
 from sassafrastally.proxy.waiting_attempts import WaitingAttempt
 
@@ -40,24 +40,24 @@
 PATIENCE_S = 2.0
 PATIENCE_GOALS = 4.0
 PATIENCE_PAUSES = 8.0
-"""Callers leave a stream after a silence of two seconds, four times the goal of the first event or
-eight times that of a pause, whichever is longest."""
+"""Callers close a stream after a silence of two seconds, four times the goal for the first event or
+eight times the goal for a pause, whichever is longest."""
 
 SILENCE_SHARE = 0.65
-"""Share of a caller's patience after which a silent engine is given up while another may be tried;
-the rest is for the other one's first event."""
+"""Share of the caller's timeout after which an attempt at a silent engine is abandoned if another
+engine may be tried. The rest is left for the first event of the other engine."""
 
 LATE_FACTOR = 1.5
 LATEST_SHARE = 0.95
-"""A first event is waited for this many times the predicted time, but not beyond this share of the
-caller's patience."""
+"""Timeout for the first event: `LATE_FACTOR` times the predicted time, but no more than
+`LATEST_SHARE` of the caller's timeout."""
 
-RECONSIDER_S = 0.3
-"""Time between two thoughts of moving an attempt: as often as reports bring something new."""
+MOVE_CHECK_INTERVAL_S = 0.3
+"""Minimum interval between checks whether to move an attempt; reports bring new data as often."""
 
 
 class Generation(Answerer):
-    """Answers one request by model engines."""
+    """Handles one streaming request with model engines."""
 
     def __init__(
         self,
@@ -76,39 +76,39 @@
         self._first_s: float | None = None
         self._previous_s = 0.0
         self._longest_pause_s = 0.0
-        self._considered_s = -math.inf
+        self._move_checked_s = -math.inf
 
-    async def run(self) -> Stopped | None:
-        """Answer the request; return why it wasn't answered, or not to the end."""
+    async def run(self) -> LocalReply | None:
+        """Handle the request; return a local reply if there is no complete response."""
         most_tokens = most_prompt_tokens(self._figures)
         if self._prompt.prompt_tokens > most_tokens:
-            return Stopped(TOO_LONG, f"at most {most_tokens} tokens")
+            return LocalReply(TOO_LONG, f"at most {most_tokens} tokens")
         while True:
-            if (quarantined := self._quarantined()) is not None:
+            if (quarantined := self._quarantine_reply()) is not None:
                 return quarantined
             placement = self._place()
             if placement is None:
-                return self._stopped(f"no engine has room: {self._room()}")
+                return self._local_reply(f"no engine has room: {self._load_summary()}")
             time_left_s = self._task.time_left_s(self._clock.now_s())
             if self._is_new() and (reason := overload_reason(placement, self._goals())):
-                return self._stopped(f"{reason}: {self._room()}")
-            if is_hopeless(placement.predicted_s, self._patience_s(), time_left_s):
-                detail = f"first event in {placement.predicted_s:.1f} s: {self._room()}"
-                return self._stopped(detail)
-            if await self._try(placement):
+                return self._local_reply(f"{reason}: {self._load_summary()}")
+            if is_hopeless(placement.predicted_s, self._caller_timeout_s(), time_left_s):
+                detail = f"first event in {placement.predicted_s:.1f} s: {self._load_summary()}"
+                return self._local_reply(detail)
+            if await self._attempt(placement):
                 return None
-            if not self._may_try_again():
-                return self._stopped("no further attempt is allowed")
+            if not self._claim_retry():
+                return self._local_reply("no further attempt is allowed")
 
-    def _stopped(self, detail: str) -> Stopped:
+    def _local_reply(self, detail: str) -> LocalReply:
         if self.progress.may_have_run:
-            return Stopped(MAY_HAVE_RUN, detail)
+            return LocalReply(MAY_HAVE_RUN, detail)
         if not self._services.sight.views(self._task.service, set()):
-            return self._not_run(NO_SERVER, f"service {self._task.service}")
-        return self._not_run(TURNED_AWAY if self.progress.attempts else NO_ROOM, detail)
+            return self._reply_not_run(NO_SERVER, f"service {self._task.service}")
+        return self._reply_not_run(TURNED_AWAY if self.progress.attempts else NO_ROOM, detail)
 
-    def _room(self) -> str:
-        """Return what is known of the engines' room, for the log and the caller."""
+    def _load_summary(self) -> str:
+        """Return a summary of the engines' load for the log and the caller."""
         views = self._services.sight.views(self._task.service, self.progress.tried)
         requests = sum(view.work.requests for view in views)
         reading_s = max((view.work.reading_ms for view in views), default=0.0) / 1000
@@ -123,11 +123,13 @@
         if self._lane is Lane.SHORT and self._is_suspect():
             sight = self._services.sight
             views = sight.near_views(service, tried) or sight.views(service, tried)
-            plan = self._place_among(self._dealt(views))
+            plan = self._place_among(self._isolate(views))
             if plan is not None:
                 return plan
-        if self._lane is Lane.SHORT and (near := self._services.sight.near_views(service, tried)):
-            plan = self._place_among(near)
+        if self._lane is Lane.SHORT and (
+            near_views := self._services.sight.near_views(service, tried)
+        ):
+            plan = self._place_among(near_views)
             if stays_near(plan, self._goal_s()):
                 return plan
         return self._place_among(self._services.sight.views(service, tried))
@@ -146,7 +148,7 @@
         )
 
     def _is_new(self) -> bool:
-        """Return whether nothing of the answer has been made, here or at another entry."""
+        """Return whether no part of the response exists yet, here or at another entry."""
         return self.progress.attempts == 0 and self._last_event_id is None
 
     def _goals(self) -> Goals:
@@ -155,8 +157,8 @@
     def _goal_s(self) -> float:
         return self._task.route.goal_s or self._task.time_limit_s
 
-    async def _try(self, placement: Placement) -> bool:
-        """Make one attempt; return whether the caller has its answer."""
+    async def _attempt(self, placement: Placement) -> bool:
+        """Make one attempt; return whether the caller got its response."""
         server = placement.server
         self._begin_attempt(server, placement.helpers)
         begin_s = self._clock.now_s()
@@ -172,24 +174,26 @@
             is_suspect=self._is_suspect(),
         )
         self._services.sight.ledger.add(flight, begin_s)
-        waiting = trio.CancelScope(deadline=trio.current_time() + self._first_limit_s(placement))
+        waiting = trio.CancelScope(
+            deadline=trio.current_time() + self._first_event_timeout_s(placement)
+        )
         attempt = WaitingAttempt(
             tuple(part.life_id for part in placement.parts),
             begin_s,
             placement.predicted_s,
             waiting,
-            self._consider_moving,
+            self._move_if_faster,
             self._task.fingerprint,
         )
         try:
             return await self._exchange(placement, flight, attempt)
         except AttemptNotRun as cause:
-            self._note_not_run(server, begin_s, cause, placement.helpers)
+            self._record_not_run(server, begin_s, cause, placement.helpers)
         except AttemptUnknown as cause:
             if attempt.moving_reason:
-                self._note_given_up(server, begin_s, attempt.moving_reason)
+                self._record_abandoned(server, begin_s, attempt.moving_reason)
             else:
-                await self._note_unknown(server, begin_s, cause)
+                await self._record_unknown(server, begin_s, cause)
         finally:
             self._services.sight.ledger.remove(flight, self._clock.now_s())
         return False
@@ -199,7 +203,7 @@
     ) -> bool:
         task = self._task
         helpers = tuple(Helper(server) for server in placement.helpers)
-        terms = self._terms(placement.server, attempt.begin_s, self._last_event_id, helpers)
+        terms = self._attempt_terms(placement.server, attempt.begin_s, self._last_event_id, helpers)
         with ExitStack() as until_begun:
             until_begun.enter_context(self._services.sight.waiting_attempts.hold(attempt))
             async with (
@@ -212,44 +216,48 @@
                 ) as answer,
             ):
                 until_begun.close()
-                attempt.moving_reason = ""  # The answer came before the wait was ended.
+                attempt.moving_reason = ""  # The response began before the wait was cancelled.
                 self._services.sight.note_load(placement.server.life_id, answer.facts.load)
                 if answer.status >= 300:
-                    return await self._pass_failure(placement, answer)
-                await self._pass_stream(placement, flight, answer)
+                    return await self._forward_failure(placement, answer)
+                await self._forward_stream(placement, flight, answer)
                 return True
 
-    def _consider_moving(self, attempt: WaitingAttempt, pace: float) -> None:
-        """Give an attempt up that waits for a slow engine, if another place is much sooner."""
+    def _move_if_faster(self, attempt: WaitingAttempt, pace: float) -> None:
+        """Abandon an attempt that waits for a slow engine if another placement is much faster."""
         now_s = self._clock.now_s()
-        if not self._can_go_elsewhere() or now_s - self._considered_s < RECONSIDER_S:
+        if not self._can_fail_over() or now_s - self._move_checked_s < MOVE_CHECK_INTERVAL_S:
             return
-        self._considered_s = now_s
-        left_s = remaining_s(now_s - attempt.begin_s, attempt.predicted_s, pace)
-        goal_left_s = self._goal_s() - (now_s - self._task.request.arrived_s)
-        elsewhere = self._place()
-        if elsewhere and is_worth_moving(left_s, elsewhere.predicted_s, goal_left_s):
+        self._move_checked_s = now_s
+        remaining_here_s = remaining_s(now_s - attempt.begin_s, attempt.predicted_s, pace)
+        time_to_goal_s = self._goal_s() - (now_s - self._task.request.arrived_s)
+        alternative = self._place()
+        if alternative and is_worth_moving(
+            remaining_here_s, alternative.predicted_s, time_to_goal_s
+        ):
             attempt.give_up(
-                f"an engine is {pace:.1f} times slower: {left_s:.2f} s more, "
-                f"{elsewhere.predicted_s:.2f} s elsewhere"
+                f"an engine is {pace:.1f} times slower: {remaining_here_s:.2f} s more, "
+                f"{alternative.predicted_s:.2f} s elsewhere"
             )
 
-    def _first_limit_s(self, placement: Placement) -> float:
-        """Return how long to wait for an engine's first event.
+    def _first_event_timeout_s(self, placement: Placement) -> float:
+        """Return the timeout for an engine's first event.
 
-        Under a flood the entry knows that an engine will be slow. Another one would be no faster,
-        so such an engine is given up only well after the time that was predicted.
+        Under overload, the prediction already says that the engine will be slow, and another engine
+        would be no faster. The attempt is therefore abandoned only well after the predicted time.
         """
-        expected_s = min(LATE_FACTOR * placement.predicted_s, LATEST_SHARE * self._patience_s())
-        return max(self._silence_limit_s(), expected_s)
+        expected_s = min(
+            LATE_FACTOR * placement.predicted_s, LATEST_SHARE * self._caller_timeout_s()
+        )
+        return max(self._silence_timeout_s(), expected_s)
 
-    def _silence_limit_s(self) -> float:
-        if not self._can_go_elsewhere():
-            return math.inf  # The limit of the whole request ends it.
-        return SILENCE_SHARE * self._patience_s()
+    def _silence_timeout_s(self) -> float:
+        if not self._can_fail_over():
+            return math.inf  # The deadline of the request still applies.
+        return SILENCE_SHARE * self._caller_timeout_s()
 
-    def _patience_s(self) -> float:
-        """Return after how long a silence the caller leaves."""
+    def _caller_timeout_s(self) -> float:
+        """Return the silence after which the caller closes the stream."""
         route = self._task.route
         return max(
             PATIENCE_S,
@@ -257,25 +265,25 @@
             PATIENCE_PAUSES * (route.pause_goal_s or 0.0),
         )
 
-    async def _pass_failure(self, placement: Placement, answer: Answer) -> bool:
-        """Pass on an engine's answer that is no stream, or leave it for another attempt."""
+    async def _forward_failure(self, placement: Placement, answer: Answer) -> bool:
+        """Forward an engine's error response; raises `AttemptUnknown` if it isn't forwarded."""
         body = await answer.read()
-        if answer.status >= SERVER_ERROR and self._can_go_elsewhere():
+        if answer.status >= SERVER_ERROR_STATUS and self._can_fail_over():
             raise AttemptUnknown(f"the engine answered {answer.status}")
         if self._reply.has_begun:
             raise AttemptUnknown(f"the engine answered {answer.status} to a continued stream")
         headers = self._services.dialect.answer_headers(answer.headers)
         await self._reply.whole(answer.status, headers, body)
-        self._note_answered(placement, answer.status)
+        self._record_answered(placement, answer.status)
         return True
 
-    async def _pass_stream(self, placement: Placement, flight: Flight, answer: Answer) -> None:
-        """Pass a stream on, event by event, so that a broken one can be continued.
+    async def _forward_stream(self, placement: Placement, flight: Flight, answer: Answer) -> None:
+        """Forward a stream event by event, so that a broken stream can be resumed.
 
-        Bytes of an event that isn't complete are held: if the engine dies within it, the next one
-        sends it from its beginning, and the caller must not see both. The limit of silence covers
-        the engine alone: a write to the caller that were cut by it would leave half a piece on the
-        wire, and the next attempt's bytes behind it.
+        Bytes of an incomplete event are buffered: if the engine dies within the event, the next
+        engine sends it from its beginning, and the caller must not see both. The silence timeout
+        covers only reads from the engine. A write to the caller cancelled by it would leave a
+        partial chunk on the connection, followed by the bytes of the next attempt.
         """
         splitter = EventSplitter()
         if not self._reply.has_begun:
@@ -283,9 +291,9 @@
             await self._reply.begin(answer.status, headers)
         slow_event_s = slow_event_time_s(self._figures)
         waiting_since_s = self._clock.now_s()
-        while (chunk := await answer.chunk(self._silence_limit_s())) is not None:
-            # Measured from the wait for it: the time that the caller takes says nothing of the
-            # engine.
+        while (chunk := await answer.chunk(self._silence_timeout_s())) is not None:
+            # Measured only while waiting for the engine: the time spent on writing to the caller
+            # says nothing about the engine.
             waited_s = self._clock.now_s() - waiting_since_s
             if not flight.is_reading:
                 self._services.sight.note_event(
@@ -294,18 +302,18 @@
             for event in splitter.feed(chunk):
                 now_s = self._clock.now_s()
                 self._services.sight.ledger.first_event(flight, now_s)
-                await self._pass_event(event, now_s)
+                await self._forward_event(event, now_s)
             waiting_since_s = self._clock.now_s()
         if splitter.rest:
             await self._reply.send(splitter.rest)
         await self._reply.end()
         self._services.sight.note_success(placement.server.life_id)
-        self._note_answered(placement, answer.status)
+        self._record_answered(placement, answer.status)
 
-    async def _pass_event(self, event: StreamEvent, now_s: float) -> None:
+    async def _forward_event(self, event: StreamEvent, now_s: float) -> None:
         known_id = -1 if self._last_event_id is None else self._last_event_id
         if event.event_id is not None and event.event_id <= known_id:
-            return  # A continued stream that begins earlier than asked for.
+            return  # Already forwarded; the resumed stream begins earlier than requested.
         if self._first_s is None:
             self._first_s = now_s - self._task.request.arrived_s
         else:
@@ -316,8 +324,8 @@
             self._last_event_id = event.event_id
             self.progress.last_event_id = event.event_id
 
-    def _note_answered(self, placement: Placement, status: int) -> None:
-        self._note_harmless(status)
+    def _record_answered(self, placement: Placement, status: int) -> None:
+        self._record_success(status)
         now_s = self._clock.now_s()
         total_s = now_s - self._task.request.arrived_s
         count_answer(self._lane, self._first_s or total_s, self._longest_pause_s, total_s)
@@ -338,7 +346,7 @@
 def _with_reservations(
     helpers: tuple[Helper, ...], reserved: Mapping[str, str]
 ) -> tuple[Helper, ...]:
-    """Return the helpers, those with reserved memory first: it is filled in this order."""
+    """Return the helpers, those with reserved memory first: memory is filled in this order."""
     named = [
         helper._replace(reservation_id=reserved.get(helper.server.life_id)) for helper in helpers
     ]
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -1,4 +1,4 @@
-"""The path of one request: routed, checked, and answered by a backend server or refused."""
+"""Request path: routes and checks requests, then forwards or rejects them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from sassafrastally.proxy.reservations import Reservations
 from sassafrastally.proxy.routes import UnknownKey, choose_service, find_customer
 from sassafrastally.proxy.sight import Sight
-from sassafrastally.proxy.task import Progress, RequestTask, Stopped
+from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
 
 if TYPE_CHECKING:
     from sassafrastally.proxy.attempt import Attempts, Request
@@ -41,39 +41,39 @@
     from sassafrastally.proxy.model import Configuration, Customer, Route
     from sassafrastally.proxy.reply import Reply
 
-COME_BACK_S = 0.3
-"""When to come back while no configuration is known: a process learns it within a second of its
-start, and other entries have it."""
+NO_CONFIGURATION_RETRY_AFTER_S = 0.3
+"""Retry delay that callers are given while no configuration is loaded. A process loads it within a
+second of its start, and other entries already have it."""
 
-START_TIME_S = 0.5
-"""Requests that arrive this soon after the start wait for the first configuration. The store gives
-it within some milliseconds; longer than this, it is away, and a wait would be in vain."""
+CONFIGURATION_WAIT_S = 0.5
+"""Requests that arrive within this time after the start wait for the first configuration. The store
+normally returns it within milliseconds; after this time the store is considered unavailable."""
 
-NO_ROUTE_NAME = "-"
+MISSING_ROUTE_NAME = "-"
 
-TIDY_S = 5.0
-"""Time between two rounds that drop what belongs to servers that have left. A replacement takes
-longer, so that at most one generation of connections is held in vain."""
+CLEANUP_INTERVAL_S = 5.0
+"""Interval at which the state of removed servers is dropped. Replacing a server takes longer, so
+unused connections are kept for at most one generation of servers."""
 
 
 class RequestPath(Service):
-    """Answers callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     dialect
-        Translator of headers.
+        Translates headers.
     attempts
         Sends requests to backend servers.
     budget
-        The shared budget of repeats.
+        Retry budget shared by all requests.
     """
 
     name: ClassVar[str] = "path"
     needs: ClassVar[tuple[str, ...]] = ("backpressure", "beliefs", "quarantine", "sight")
 
     services: AnswerServices
-    """What answers are made with; known from the start on."""
+    """Services shared by all request handlers; set in `start`."""
 
     def __init__(self, dialect: Dialect, attempts: Attempts, budget: RetryBudget) -> None:
         self._dialect = dialect
@@ -81,7 +81,7 @@
         self._budget = budget
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Find the services that decisions rest on."""
+        """Look up the required services and start the cleanup task."""
         self._started_s = self.kernel.clock.now_s()
         self._beliefs = self.kernel.get("beliefs", Beliefs)
         sight = self.kernel.get("sight", Sight)
@@ -101,11 +101,11 @@
             Reservations(self._dialect, self.kernel, self._beliefs, backpressure, nursery),
             KnownReadingLimits(),
         )
-        nursery.start_soon(self._tidy)
+        nursery.start_soon(self._clean_up)
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         while True:
-            await trio.sleep(TIDY_S)
+            await trio.sleep(CLEANUP_INTERVAL_S)
             await self._attempts.pool.close_idle()
             await self.services.reservations.forget_gone(
                 {server.address for server in self._beliefs.servers()}
@@ -113,28 +113,30 @@
             self.services.sight.forget_gone()
 
     async def answer(self, request: Request, reply: Reply) -> None:
-        """Answer a request; raises `ConnectionLost` when the caller can't be reached."""
+        """Handle a request; raises `ConnectionLost` if the caller can't be reached."""
         if self._beliefs.configuration is None:
-            with trio.move_on_at(self._started_s + START_TIME_S):
+            with trio.move_on_at(self._started_s + CONFIGURATION_WAIT_S):
                 await self._beliefs.configuration_known.wait()
         configuration = self._beliefs.configuration
         if configuration is None:
-            await self._answer_ourselves(request, reply, Stopped(NO_CONFIGURATION, "", COME_BACK_S))
+            await self._answer_locally(
+                request, reply, LocalReply(NO_CONFIGURATION, "", NO_CONFIGURATION_RETRY_AFTER_S)
+            )
             return
         path = request.target.split(b"?", 1)[0].decode("latin-1")
         route = self._beliefs.routes.find(request.facts.host, path)
         if route is None:
             detail = f"version {configuration.version}"
-            await self._answer_ourselves(request, reply, Stopped(NO_ROUTE, detail))
+            await self._answer_locally(request, reply, LocalReply(NO_ROUTE, detail))
             return
         customer = find_customer(configuration, route, request.facts)
         if isinstance(customer, UnknownKey):
             detail = f"version {configuration.version}"
-            await self._answer_ourselves(request, reply, Stopped(UNKNOWN_KEY, detail), route.name)
+            await self._answer_locally(request, reply, LocalReply(UNKNOWN_KEY, detail), route.name)
             return
-        await self._answer_within_limit(request, reply, configuration, route, customer)
+        await self._answer_before_deadline(request, reply, configuration, route, customer)
 
-    async def _answer_within_limit(
+    async def _answer_before_deadline(
         self,
         request: Request,
         reply: Reply,
@@ -149,29 +151,29 @@
         self._budget.count_request(service, request.arrived_s)
         answerer = self._answerer(task, reply)
         progress = answerer.progress
-        stopped: Stopped | None = None
+        local_reply: LocalReply | None = None
         with trio.move_on_at(task.deadline_s) as limit:
             try:
-                stopped = await answerer.run()
+                local_reply = await answerer.run()
             except trio.Cancelled:
                 if not limit.cancel_called:
                     held_s = self.kernel.clock.now_s() - request.arrived_s
                     self.kernel.events.emit(
                         CallerLeft(request.facts.request_id, route.name, held_s)
                     )
-                    self._note_unanswered(task, progress)
+                    self._record_unanswered(task, progress)
                 raise
         if limit.cancelled_caught:
-            stopped = _out_of_time(progress)
-            self._note_unanswered(task, progress)
-        if stopped is None:
+            local_reply = _deadline_exceeded(progress)
+            self._record_unanswered(task, progress)
+        if local_reply is None:
             return
         if reply.has_begun:
-            self._note_broken(task, progress, stopped)
+            self._record_broken_stream(task, progress, local_reply)
             return
         fingerprint = fingerprint_text(task.fingerprint)
-        await self._answer_ourselves(
-            request, reply, stopped, route.name, progress.attempts, fingerprint
+        await self._answer_locally(
+            request, reply, local_reply, route.name, progress.attempts, fingerprint
         )
 
     def _answerer(self, task: RequestTask, reply: Reply) -> Generation | PlainRequest:
@@ -181,12 +183,14 @@
             return Generation(self.services, task, reply, engine, prompt)
         return PlainRequest(self.services, task, reply)
 
-    def _note_unanswered(self, task: RequestTask, progress: Progress) -> None:
-        """Note an attempt that was under way when the caller left or the time was over."""
+    def _record_unanswered(self, task: RequestTask, progress: Progress) -> None:
+        """Record an attempt in flight when the caller disconnected or the deadline passed."""
         if progress.pending is not None:
             self.services.crashes.note_unanswered(progress.pending, task)
 
-    def _note_broken(self, task: RequestTask, progress: Progress, stopped: Stopped) -> None:
+    def _record_broken_stream(
+        self, task: RequestTask, progress: Progress, local_reply: LocalReply
+    ) -> None:
         REQUESTS.add(1, {"outcome": "broken"})
         self.kernel.events.emit(
             StreamBroken(
@@ -194,32 +198,32 @@
                 task.route.name,
                 progress.attempts,
                 progress.last_event_id,
-                f"{stopped.refusal.code}: {stopped.detail}",
+                f"{local_reply.refusal.code}: {local_reply.detail}",
             )
         )
 
-    async def _answer_ourselves(
+    async def _answer_locally(
         self,
         request: Request,
         reply: Reply,
-        stopped: Stopped,
-        route_name: str = NO_ROUTE_NAME,
+        local_reply: LocalReply,
+        route_name: str = MISSING_ROUTE_NAME,
         attempts: int = 0,
         fingerprint: str = "",
     ) -> None:
-        """Give an answer of our own: a refusal, or a failure of a request that may have run."""
-        REFUSALS.add(1, {"code": stopped.refusal.code})
+        """Send a local reply: a refusal, or a failure of a request that may have run."""
+        REFUSALS.add(1, {"code": local_reply.refusal.code})
         held_s = round(self.kernel.clock.now_s() - request.arrived_s, 4)
         request_id = request.facts.request_id
-        status = stopped.refusal.status
-        if stopped.refusal in (MAY_HAVE_RUN, NO_ANSWER_IN_TIME):
-            detail = f"{stopped.refusal.code}: {stopped.detail}"
+        status = local_reply.refusal.status
+        if local_reply.refusal in (MAY_HAVE_RUN, NO_ANSWER_IN_TIME):
+            detail = f"{local_reply.refusal.code}: {local_reply.detail}"
             self.kernel.events.emit(
                 RequestFailed(request_id, route_name, status, attempts, held_s, detail)
             )
         else:
-            code = stopped.refusal.code
-            retry_after_s = round(stopped.retry_after_s or 0.0, 3)
+            code = local_reply.refusal.code
+            retry_after_s = round(local_reply.retry_after_s or 0.0, 3)
             self.kernel.events.emit(
                 RequestRefused(
                     request_id,
@@ -229,18 +233,18 @@
                     retry_after_s,
                     attempts,
                     held_s,
-                    stopped.detail,
+                    local_reply.detail,
                     fingerprint,
                 )
             )
-        await self._send(request, reply, stopped)
+        await self._send(request, reply, local_reply)
 
-    async def _send(self, request: Request, reply: Reply, stopped: Stopped) -> None:
+    async def _send(self, request: Request, reply: Reply, local_reply: LocalReply) -> None:
         headers: Headers = [(b"content-type", b"application/problem+json")]
-        if stopped.retry_after_s is not None:
-            headers.append(self._dialect.retry_after(stopped.retry_after_s))
-        body = refusal_body(stopped.refusal, request.facts.request_id, stopped.detail)
-        await reply.whole(stopped.refusal.status, headers, body)
+        if local_reply.retry_after_s is not None:
+            headers.append(self._dialect.retry_after(local_reply.retry_after_s))
+        body = refusal_body(local_reply.refusal, request.facts.request_id, local_reply.detail)
+        await reply.whole(local_reply.refusal.status, headers, body)
 
 
 def _fingerprint(request: Request, customer: Customer | None) -> int:
@@ -253,12 +257,12 @@
     )
 
 
-def _out_of_time(progress: Progress) -> Stopped:
-    """Return how a request ends whose time is over.
+def _deadline_exceeded(progress: Progress) -> LocalReply:
+    """Return the local reply for a request whose deadline has passed.
 
-    Only a request of which no attempt may have run may be called "not run".
+    It may say "not run" only if no attempt can have run.
     """
     refusal: Refusal = NOT_SENT_IN_TIME
     if progress.may_have_run or progress.pending:
         refusal = NO_ANSWER_IN_TIME
-    return Stopped(refusal, "the time limit is over")
+    return LocalReply(refusal, "the time limit is over")
