--- a/packages/proxy/src/sassafrastally/proxy/callers.py
+++ b/packages/proxy/src/sassafrastally/proxy/callers.py
@@ -265,7 +265,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 break
             else:
-                raise ConnectionLost("closed within a request")
+                raise ConnectionLost("connection closed before the end of the request")
         try:
             facts = self._dialect.read_request(headers)
         except DocumentInvalid as cause:
--- a/packages/proxy/src/sassafrastally/proxy/generation.py
+++ b/packages/proxy/src/sassafrastally/proxy/generation.py
@@ -269,9 +269,11 @@
         """Forward an engine's error response; raises `AttemptUnknown` if it isn't forwarded."""
         body = await answer.read()
         if answer.status >= SERVER_ERROR_STATUS and self._can_fail_over():
-            raise AttemptUnknown(f"the engine answered {answer.status}")
+            raise AttemptUnknown(f"the engine responded with status {answer.status}")
         if self._reply.has_begun:
-            raise AttemptUnknown(f"the engine answered {answer.status} to a continued stream")
+            raise AttemptUnknown(
+                f"the engine responded with status {answer.status} to a resumed stream"
+            )
         headers = self._services.dialect.answer_headers(answer.headers)
         await self._reply.whole(answer.status, headers, body)
         self._record_answered(placement, answer.status)
--- a/packages/proxy/src/sassafrastally/proxy/http_stream.py
+++ b/packages/proxy/src/sassafrastally/proxy/http_stream.py
@@ -77,7 +77,7 @@
         try:
             data = await self.stream.receive_some(RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as cause:
-            raise ConnectionLost(f"reset while reading: {cause!r}") from cause
+            raise ConnectionLost(f"connection reset while reading: {cause!r}") from cause
         self.http.receive_data(bytes(data))
         return bool(data)
 
@@ -91,7 +91,7 @@
         try:
             await self.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as cause:
-            raise ConnectionLost(f"reset while sending: {cause!r}") from cause
+            raise ConnectionLost(f"connection reset while sending: {cause!r}") from cause
 
     def has_unread_input(self) -> bool:
         """Return whether unexpected bytes or the end of the stream can be read from the socket."""
@@ -134,9 +134,9 @@
                 sock.close()
                 raise
     except (OSError, trio.TooSlowError) as cause:
-        lost = ConnectionLost(f"no connection to {address}: {cause!r}")
-        lost.is_refused = isinstance(cause, ConnectionRefusedError)
-        raise lost from cause
+        failure = ConnectionLost(f"failed to connect to {address}: {cause!r}")
+        failure.is_refused = isinstance(cause, ConnectionRefusedError)
+        raise failure from cause
     stream = trio.SocketStream(sock)
     enable_keepalive(stream)
     return stream
