--- a/packages/testing/tests/platform/conftest.py
+++ b/packages/testing/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""A small platform with stand-ins for all that an entry speaks to."""
+"""Fixtures: a small platform with stand-ins for everything that an entry connects to."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @pytest.fixture
 async def fleet():
-    """A store with a configuration; replicas and entries are added by the test."""
+    """A store with a configuration; the test adds replicas and entries."""
     async with platform_fleet() as running:
         yield running
 
 
 @pytest.fixture
 async def served(fleet):
-    """One entry before two engines and two plain servers."""
+    """One entry with two engines and two plain servers."""
     for number in (1, 2):
         await fleet.add_replica(f"engine-{number}")
         await fleet.add_replica(f"desk-{number}", "desk")
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 async def seeded_network(seed):
-    """A network in memory, for all sockets of the test."""
+    """An in-memory network for all sockets of the test."""
     network = VirtualNetwork(random.Random(f"{seed}/network"), jitter_s=0.004)
     trio.socket.set_custom_socket_factory(network)
     return network
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 async def seeded_fleet(seed, seeded_network):
-    """The same on a network in memory; with `autojump_clock` a seed fixes the course of events."""
+    """Like `fleet`, but on an in-memory network; deterministic per seed with `autojump_clock`."""
     with seeded_scheduling(seed):
         async with trio.open_nursery() as nursery:
             running = PlatformFleet(nursery, random.Random(seed), seeded_network)
--- a/packages/testing/tests/platform/test_backpressure.py
+++ b/packages/testing/tests/platform/test_backpressure.py
@@ -1,4 +1,4 @@
-"""Backend servers that ask for fewer requests, before several entries."""
+"""Backpressure of backend servers: rate limits, leaving and cool-downs, with several entries."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from sassafrastally.testing.harmful_fleet import start_fleet
 
 
-def limits_known(fleet, server_id) -> list[float | None]:
-    """Return what each entry believes of a server's limit."""
+def known_limits(fleet, server_id) -> list[float | None]:
+    """Return the rate limit of a server as each entry knows it."""
     services = [kernel.get("backpressure", Backpressure) for kernel in fleet.kernels]
     return [service.limit_of(server_id) for service in services]
 
 
 class TestRateLimit:
-    """Servers that name the requests a second that they take."""
+    """Servers that announce a rate limit."""
 
     @pytest.mark.parametrize(("kind", "prompt"), [("engine", "1000,34"), ("desk", None)])
     async def test_limit_holds_for_the_sum_over_all_entries(self, fleet, kind, prompt):
-        """Guards against a server getting more than the limit that it names, or hardly any."""
+        """Guards against exceeding a server's rate limit, or using only a fraction of it."""
         await start_fleet(fleet, entries=3, engines=2)
         limited = fleet.replicas[f"{kind}-1"]
         limited.most_per_s = 1.0
@@ -42,8 +42,8 @@
         settled = [at_s for at_s in limited.called_s if at_s >= settled_s]
         assert len(settled) >= 0.5 * limited.most_per_s * (8.0 - SETTLED_S)
 
-    async def test_limit_holds_without_the_store_and_ends_with_the_servers_word(self, fleet):
-        """Guards against a limit that needs the store, or that outlives the server's need."""
+    async def test_limit_holds_without_the_store_and_ends_when_withdrawn(self, fleet):
+        """Guards against a limit that depends on the store, or that stays after its withdrawal."""
         await start_fleet(fleet, entries=3, engines=2)
         limited = fleet.replicas["desk-1"]
         limited.most_per_s = 1.0
@@ -53,13 +53,13 @@
         assert most_in_window(limited.called_s, limited.called_s[0] + SETTLED_S) <= allowed(1.0)
         limited.most_per_s = None
         await offer(fleet, "/look/x", per_s=12.0, for_s=4.0, entries=3)
-        assert limits_known(fleet, "desk-1") == [None, None, None]
+        assert known_limits(fleet, "desk-1") == [None, None, None]
         before = len(limited.called_s)
         await offer(fleet, "/look/y", per_s=12.0, for_s=1.0, entries=3)
         assert len(limited.called_s) - before >= 3
 
-    async def test_server_that_took_nothing_is_used_again_within_seconds(self, fleet):
-        """Guards against callers refused long after all servers have taken a limit of 0 back."""
+    async def test_server_is_used_again_soon_after_a_limit_of_zero(self, fleet):
+        """Guards against refusals that go on after all servers have withdrawn a limit of 0."""
         await start_fleet(fleet, entries=3, engines=1)
         server = fleet.replicas["desk-1"]
         server.most_per_s = 0.0
@@ -69,33 +69,33 @@
         answers = await offer(fleet, "/look/z", per_s=12.0, for_s=0.5, entries=3)
         assert [answer.status for answer in answers] == [200] * 6
 
-    async def test_entry_that_starts_hears_of_limits_from_its_peers(self, fleet):
-        """Guards against a new entry sending as much as it likes until a server tells itself."""
+    async def test_starting_entry_gets_limits_from_its_peers(self, fleet):
+        """Guards against a new entry that ignores a limit until the server announces it again."""
         await start_fleet(fleet, entries=2, engines=2)
         fleet.replicas["desk-1"].most_per_s = 1.5
         await offer(fleet, "/look/x", per_s=10.0, for_s=0.5, entries=2)
-        await until(lambda: limits_known(fleet, "desk-1") == [1.5, 1.5])
+        await until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5])
         await fleet.add_entry(3)
-        await until(lambda: limits_known(fleet, "desk-1") == [1.5, 1.5, 1.5])
+        await until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5, 1.5])
 
-    async def test_limit_of_an_earlier_life_says_nothing_of_the_next(self, fleet):
-        """Guards against a server that has started again being spared for its predecessor."""
+    async def test_limit_ends_with_the_server_incarnation(self, fleet):
+        """Guards against applying the limit of a server's previous incarnation after a restart."""
         await start_fleet(fleet, entries=1, engines=1)
         server = fleet.replicas["desk-1"]
         server.most_per_s = 0.5
         await fleet.call("/look/x")
-        assert limits_known(fleet, "desk-1") == [0.5]
+        assert known_limits(fleet, "desk-1") == [0.5]
         server.most_per_s, server.born_ms = None, 1_000
         fleet.store.put("servers/desk-1", server.entry())
-        await until(lambda: limits_known(fleet, "desk-1@1000") == [None])
+        await until(lambda: known_limits(fleet, "desk-1@1000") == [None])
         answers = await offer(fleet, "/look/x", per_s=10.0, for_s=0.5)
         assert [answer.status for answer in answers] == [200] * 5
 
     @pytest.mark.parametrize(("kind", "prompt"), [("engine", "1000,34"), ("desk", None)])
-    async def test_callers_beyond_all_limits_are_refused_at_once_and_told_when_to_return(
+    async def test_requests_beyond_all_limits_are_refused_at_once_with_retry_after(
         self, fleet, kind, prompt
     ):
-        """Guards against callers that wait for room that won't come in time, or return in vain."""
+        """Guards against queueing requests beyond all limits, and too short retry delays."""
         await start_fleet(fleet, entries=1, engines=1)
         fleet.replicas[f"{kind}-1"].most_per_s = 2.0
         path = "/note/x" if kind == "engine" else "/look/x"
@@ -105,18 +105,18 @@
         assert refused
         for answer in refused:
             assert json.loads(answer.body)["type"].endswith("servers-limited")
-        told = [float(answer.headers["retry-after"]) for answer in refused]
-        assert sorted(told)[-1] > sorted(told)[0] + 0.3
-        await trio.sleep(min(told) + 0.3)
+        delays_s = [float(answer.headers["retry-after"]) for answer in refused]
+        assert sorted(delays_s)[-1] > sorted(delays_s)[0] + 0.3
+        await trio.sleep(min(delays_s) + 0.3)
         assert (await fleet.call(path, prompt=prompt)).status == 200
 
-    async def test_limited_engine_reads_no_parts_for_others(self, fleet):
-        """Guards against prompts that reach an engine in need through another engine."""
+    async def test_limited_engine_is_no_prefill_helper(self, fleet):
+        """Guards against prefill that other engines delegate to a rate-limited engine."""
         await start_fleet(fleet, entries=1, engines=3)
         fleet.replicas["engine-1"].most_per_s = 2.0
         for number in range(5):
             await fleet.call(f"/note/{number}", prompt="1000,34")
-        assert limits_known(fleet, "engine-1") == [2.0]
+        assert known_limits(fleet, "engine-1") == [2.0]
         for number in range(4):
             await fleet.call(f"/dossier/{number}", prompt="150000,34")
         address = str(fleet.replicas["engine-1"].address)
@@ -126,71 +126,69 @@
 
 
 class TestLeaving:
-    """Servers that say in their answers that they leave."""
+    """Servers that announce in their responses that they are leaving."""
 
     @pytest.mark.parametrize(("kind", "prompt"), [("engine", "1000,34"), ("desk", None)])
-    async def test_server_that_says_it_leaves_gets_no_more_while_the_store_is_away(
+    async def test_leaving_server_gets_no_more_requests_during_a_store_outage(
         self, fleet, kind, prompt
     ):
-        """Guards against requests to a server whose leaving the store can't tell."""
+        """Guards against requests to a leaving server during a store outage."""
         await start_fleet(fleet, entries=2, engines=2)
         fleet.cut_from_store = {1, 2}
         leaving = fleet.replicas[f"{kind}-1"]
         leaving.is_leaving = True
         path = "/note/x" if kind == "engine" else "/look/x"
         await offer(fleet, path, per_s=20.0, for_s=1.0, entries=2, prompt=prompt)
-        met = len(leaving.arrivals)
+        received = len(leaving.arrivals)
         answers = await offer(fleet, path, per_s=20.0, for_s=1.0, entries=2, prompt=prompt)
-        assert met > 0
-        assert len(leaving.arrivals) == met
+        assert received > 0
+        assert len(leaving.arrivals) == received
         assert [answer.status for answer in answers] == [200] * 20
 
 
 class TestCoolDown:
-    """Servers that turn an entry away and ask for a while without requests."""
+    """Servers that reject a request and set a cool-down for the entry that sent it."""
 
     @pytest.mark.parametrize(("kind", "prompt"), [("engine", "1000,34"), ("desk", None)])
-    async def test_server_that_asks_for_rest_gets_nothing_until_it_is_over(
-        self, fleet, kind, prompt
-    ):
-        """Guards against requests within the time that a server has asked to be left alone."""
+    async def test_server_gets_no_requests_during_its_cool_down(self, fleet, kind, prompt):
+        """Guards against requests during the cool-down that a server set."""
         await start_fleet(fleet, entries=1, engines=2)
-        resting = fleet.replicas[f"{kind}-1"]
-        resting.refuses, resting.cool_down_s = True, 1.5
+        cooling = fleet.replicas[f"{kind}-1"]
+        cooling.refuses, cooling.cool_down_s = True, 1.5
         path = "/note/x" if kind == "engine" else "/look/x"
         answers = await offer(fleet, path, per_s=20.0, for_s=1.2, prompt=prompt)
-        refused_s = resting.arrivals[0].at_s
-        met = [at_s for at_s in resting.called_s if refused_s + 0.1 < at_s < refused_s + 1.5]
-        assert met == []
+        refused_s = cooling.arrivals[0].at_s
+        received = [at_s for at_s in cooling.called_s if refused_s + 0.1 < at_s < refused_s + 1.5]
+        assert received == []
         assert [answer.status for answer in answers] == [200] * 24
-        resting.refuses = False
+        cooling.refuses = False
         await trio.sleep_until(refused_s + 1.55)
         await offer(fleet, path, per_s=20.0, for_s=1.0, prompt=prompt)
-        assert resting.runs
+        assert cooling.runs
 
-    async def test_rest_asked_of_one_entry_leaves_the_others_alone(self, fleet):
-        """Guards against a server that no entry uses because it has sent one away."""
+    async def test_cool_down_applies_only_to_the_rejected_entry(self, fleet):
+        """Guards against one entry's cool-down keeping the other entries from a server."""
         await start_fleet(fleet, entries=2, engines=1)
-        resting = fleet.replicas["desk-1"]
-        resting.refuses, resting.cool_down_s = True, 30.0
+        cooling = fleet.replicas["desk-1"]
+        cooling.refuses, cooling.cool_down_s = True, 30.0
         for _ in range(3):
             await fleet.call("/look/x", entry=1)
-        resting.refuses = False
+        cooling.refuses = False
         await trio.sleep(0.3)
         answers = await offer(fleet, "/look/x", per_s=20.0, for_s=0.5, entries=2)
         assert sorted(answer.status for answer in answers) == [200] * 5 + [503] * 5
 
-    async def test_callers_are_refused_at_once_while_all_servers_rest(self, fleet):
-        """Guards against callers that are sent to a resting server, or told a moment too soon."""
+    async def test_requests_are_refused_at_once_while_all_servers_cool_down(self, fleet):
+        """Guards against requests sent during a cool-down, and retry delays that end before it."""
         await start_fleet(fleet, entries=1, engines=2)
         servers = [fleet.replicas["desk-1"], fleet.replicas["desk-2"]]
         for server in servers:
             server.refuses, server.cool_down_s = True, 1.2
         await fleet.call("/look/x")
-        met = [len(server.arrivals) for server in servers]
+        received = [len(server.arrivals) for server in servers]
         answer = await fleet.call("/look/y")
         assert json.loads(answer.body)["type"].endswith("servers-limited")
-        assert [len(server.arrivals) for server in servers] == met == [1, 1]
+        assert [len(server.arrivals) for server in servers] == received == [1, 1]
         for server in servers:
             server.refuses = False
         await trio.sleep(float(answer.headers["retry-after"]))
--- a/packages/testing/tests/platform/test_calls.py
+++ b/packages/testing/tests/platform/test_calls.py
@@ -1,4 +1,4 @@
-"""Short calls on links and to servers that are slow."""
+"""Short calls over slow links and to slow servers."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from sassafrastally.stand_ins.http_stand_in import serve_http
 
 HOST = "127.20.9.1"
-PIECES = 10
+CHUNKS = 10
 
 
-async def serve_in_pieces(nursery, gap_s: float, *, stalls_after: int = PIECES) -> CallClient:
-    """Serve an answer whose pieces come one by one; return a client of it."""
+async def serve_in_chunks(nursery, gap_s: float, *, stall_after: int = CHUNKS) -> CallClient:
+    """Serve a response that is sent in chunks; return a client of the server."""
 
     async def handle(_request, connection) -> None:
         await connection.begin(200, {})
-        for number in range(PIECES):
-            if number == stalls_after:
+        for number in range(CHUNKS):
+            if number == stall_after:
                 await trio.sleep_forever()
             await trio.sleep(gap_s)
             await connection.send(b"x" * 1000)
@@ -30,20 +30,23 @@
 
 
 class TestTimeLimit:
-    """When a call is given up."""
+    """Time limits of calls."""
 
-    async def test_large_answer_on_a_slow_link_is_taken(self):
-        """An entry reads a configuration of half a megabyte over ten megabits a second. Given up
-        after its fixed time, the read is tried again and again and the entry never starts."""
+    async def test_large_response_on_a_slow_link_is_read(self):
+        """Guards against a fixed time limit for a whole response.
+
+        A configuration of 500 KB over a 10 Mbit/s link takes longer than the limit, so an entry
+        would retry the read forever and never start.
+        """
         async with trio.open_nursery() as nursery:
-            client = await serve_in_pieces(nursery, 0.1)
+            client = await serve_in_chunks(nursery, 0.1)
             status, body = await client.exchange("GET", "/", [], b"", 0.4)
-            assert (status, len(body)) == (200, PIECES * 1000)
+            assert (status, len(body)) == (200, CHUNKS * 1000)
             nursery.cancel_scope.cancel()
 
-    async def test_answer_that_stops_coming_is_given_up(self):
+    async def test_stalled_response_times_out(self):
         async with trio.open_nursery() as nursery:
-            client = await serve_in_pieces(nursery, 0.01, stalls_after=3)
+            client = await serve_in_chunks(nursery, 0.01, stall_after=3)
             begin_s = trio.current_time()
             with pytest.raises(AnswerLost):
                 await client.exchange("GET", "/", [], b"", 0.3)
--- a/packages/testing/tests/platform/test_engines_in_trouble.py
+++ b/packages/testing/tests/platform/test_engines_in_trouble.py
@@ -1,4 +1,4 @@
-"""Engines that turn slow, go silent or leave unheard, before one entry."""
+"""Engines that become slow, stop responding or drain during a store outage, with one entry."""
 
 from __future__ import annotations
 
@@ -15,11 +15,14 @@
 
 
 class TestSlowServers:
-    """Engines that turn slow."""
+    """Engines that become slow."""
 
-    async def test_slow_engine_is_left_alone_while_others_are_there(self, served):
-        """One engine of four turns six times slower. Without a failure it would keep getting its
-        share of the prompts, each late by a second."""
+    async def test_slow_engine_gets_no_requests_while_others_are_available(self, served):
+        """Guards against routing prompts to a slow engine while faster ones are available.
+
+        One of four engines becomes 6 times slower without failing. With its usual share of the
+        prompts, each of them would be 1 s late.
+        """
         for number in (3, 4):
             await served.add_replica(f"engine-{number}")
         slow = served.replicas["engine-1"]
@@ -28,20 +31,23 @@
             for _ in range(4):
                 nursery.start_soon(partial(served.call, "/note/x", prompt="1000,340"))
                 await trio.sleep(0.15)
-        met = len(slow.seen)
+        received = len(slow.seen)
         for _ in range(6):
             await served.call("/note/x", prompt="1000,34")
-        assert met > 0
-        assert len(slow.seen) == met
+        assert received > 0
+        assert len(slow.seen) == received
+
 
+class TestUnresponsiveEngines:
+    """Engines that don't respond in time."""
 
-class TestSilentEngines:
-    """Engines on which nothing comes in time."""
+    async def test_overloaded_engine_is_not_suspected(self, served):
+        """Guards against ejecting engines that are only overloaded.
 
-    async def test_engine_that_only_lags_stays_in_use(self, served):
-        """Under a flood two engines are silent for longer than callers wait. Two silent requests in
-        a row made such an engine suspect for up to eight seconds, told to all peers; the others got
-        its load and went silent as well."""
+        During an overload two engines take longer than callers wait. Two timeouts in a row made an
+        engine suspect for up to 8 s at all peers; its load moved to the other engines, which then
+        timed out as well.
+        """
         kernel = served.kernels[0]
         sight = kernel.get("sight", Sight)
         engines = [replica.engine for replica in served.replicas.values() if replica.engine]
@@ -51,28 +57,30 @@
             for number in range(4):
                 path = f"/note/{number}"
                 nursery.start_soon(partial(served.call, path, prompt="1000,340"))
-        silent = [arrival for arrival in served.arrivals() if arrival.finished_s is None]
-        assert len(silent) >= 4
+        unfinished = [arrival for arrival in served.arrivals() if arrival.finished_s is None]
+        assert len(unfinished) >= 4
         assert sight.suspicion.suspects(kernel.clock.now_s()) == {}
 
-    async def test_engine_that_reports_nothing_is_left_alone_before_a_request_meets_it(
-        self, served
-    ):
-        """An engine goes dark. Each entry would learn it from two prompts that wait in vain, for
-        more than a second each."""
+    async def test_engine_without_reports_is_suspected_before_it_gets_a_request(self, served):
+        """Guards against detecting an unresponsive engine only by requests.
+
+        Each entry would lose two prompts to the engine, which wait for more than 1 s each.
+        """
         kernel = served.kernels[0]
         sight = kernel.get("sight", Sight)
-        served.replicas["engine-1"].reports_nothing = True
+        served.replicas["engine-1"].ignores_report_calls = True
         await until(lambda: "engine-1" in sight.suspicion.suspects(kernel.clock.now_s()), 5.0)
         await served.call("/note/x", prompt="1000,34")
         assert not served.replicas["engine-1"].seen
 
-    async def test_entry_that_hears_no_engine_suspects_none(self, served):
-        """An entry is cut off from the engines, but not from its peers. Told to them, its suspicion
-        of all engines would keep the peers from engines that are well."""
+    async def test_entry_disconnected_from_all_engines_suspects_none(self, served):
+        """Guards against an entry that is disconnected from all engines, but not from its peers.
+
+        If it gossiped suspicions of all engines, its peers would stop using healthy engines.
+        """
         kernel = served.kernels[0]
         for replica in served.replicas.values():
-            replica.reports_nothing = True
+            replica.ignores_report_calls = True
 
         def failures() -> int:
             return sum(record["name"] == "ReportFailed" for record in kernel.events.records())
@@ -82,12 +90,15 @@
 
 
 class TestSlowHelpers:
-    """Engines that turn slow while they only help to read."""
+    """Engines that become slow while they act as prefill helpers."""
 
-    async def test_dossier_that_waits_for_a_slow_helper_is_read_elsewhere(self, served):
-        """One engine of eight turns twenty times slower while a dossier is read by all of them. It
-        answers nothing itself, so no stream shows it; the caller would wait for its part until he
-        leaves. Its report shows it, and the others read the dossier again without it."""
+    async def test_long_prompt_moves_away_from_a_slow_helper(self, served):
+        """Guards against waiting for a slow prefill helper until the caller gives up.
+
+        One of eight engines becomes 20 times slower while all of them prefill a long prompt. A
+        helper has no response stream that shows the slowdown, but its status report does; the
+        prompt is prefilled again without it.
+        """
         for number in range(3, 9):
             await served.add_replica(f"engine-{number}")
         answers = []
@@ -119,24 +130,25 @@
         (cause,) = failure_causes(served.kernels[0])
         assert "20.0 times slower" in cause
 
-    async def test_move_that_came_to_nothing_does_not_excuse_the_next_failure(
-        self, served, monkeypatch
-    ):
-        """While memory is being reserved for a dossier, one of its engines turns slow, and the
-        dossier is to move. The reservation fails by itself, so that nothing moves. The next engine
-        resets the connection; logged as the move, that failure would name a wrong cause and
-        wouldn't count against its engine."""
+    async def test_cancelled_move_is_not_the_cause_of_the_next_failure(self, served, monkeypatch):
+        """Guards against attributing a later failure to an earlier, pending move.
+
+        While memory is reserved for a long prompt, one of its engines becomes slow and a move is
+        requested. The reservation fails for another reason, so the move doesn't take place. If the
+        connection reset by the next engine were logged as the move, its cause would be wrong and
+        the failure wouldn't count against that engine.
+        """
         for number in range(3, 9):
             await served.add_replica(f"engine-{number}")
         kernel = served.kernels[0]
         path, sight = kernel.get("path", RequestPath), kernel.get("sight", Sight)
         hold = path.services.reservations.hold
-        tries = []
+        attempts = []
 
         @asynccontextmanager
-        async def hold_after_a_slow_engine_is_known(holdings):
-            tries.append(holdings)
-            if len(tries) == 1:
+        async def hold_after_slowdown_is_reported(holdings):
+            attempts.append(holdings)
+            if len(attempts) == 1:
                 placed = kernel.events.records()[-1]
                 assert placed["name"] == "RequestPlaced"
                 helper = served.replicas[placed["fields"]["helpers"][0]]
@@ -152,7 +164,7 @@
         async def reset(_arrival, connection) -> None:
             await connection.reset()
 
-        monkeypatch.setattr(path.services.reservations, "hold", hold_after_a_slow_engine_is_known)
+        monkeypatch.setattr(path.services.reservations, "hold", hold_after_slowdown_is_reported)
         for replica in served.replicas.values():
             monkeypatch.setattr(replica, "_stream", reset)
         await served.call("/dossier/x", prompt="182000,340", headers={"Deadline-Ms": "5000"})
@@ -161,13 +173,16 @@
         assert "slower" not in causes[1]
 
 
-class TestLeavingUnheard:
-    """Engines that drain while the store is away."""
+class TestDrainingDuringStoreOutage:
+    """Engines that drain during a store outage."""
+
+    async def test_each_draining_engine_is_tried_once(self, served):
+        """Guards against retrying draining engines after only 1 s.
 
-    async def test_each_is_met_once(self, served):
-        """Three of twelve engines drain and nobody hears of it. A dossier that names one of them as
-        a helper is turned away; they are met again by one after the other if they count as failed
-        for a second only, and most dossiers are refused."""
+        Three of twelve engines drain, which the unavailable store can't report. A long prompt with
+        one of them as a helper is rejected. If they counted as failed for only 1 s, prompts would
+        hit one after the other again and most long prompts would be refused.
+        """
         for number in range(3, 13):
             await served.add_replica(f"engine-{number}")
         kernel = served.kernels[0]
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Several entries, a store that misbehaves, and a process that is asked to stop."""
+"""Several entries, store faults, server restarts and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -23,24 +23,27 @@
 
 
 def version_of(kernel) -> int:
-    """Return the version of the configuration that an entry has in force."""
+    """Return the version of an entry's active configuration, or 0."""
     configuration = kernel.get("beliefs", Beliefs).configuration
     return configuration.version if configuration else 0
 
 
 class TestPeers:
-    """What entries tell each other."""
+    """State that entries gossip."""
 
-    async def test_entries_that_start_together_hear_each_other(self, fleet):
-        """Two entries start at the same moment. If each read the others' addresses before it wrote
-        its own, both would find nothing, share no load, and send short requests to one engine."""
+    async def test_entries_that_start_together_discover_each_other(self, fleet):
+        """Guards against entries that start together and don't discover each other.
+
+        If each read the peers' addresses before it wrote its own, neither would find the other;
+        they would share no load and send their short requests to the same engine.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.add_entry, 1)
             nursery.start_soon(fleet.add_entry, 2)
         peers = [kernel.get("peers", Peers) for kernel in fleet.kernels]
         await until(lambda: all(peer.live_count() == 1 for peer in peers))
 
-    async def test_load_of_one_is_seen_by_the_other(self, fleet):
+    async def test_load_is_gossiped_to_peers(self, fleet):
         replica = await fleet.add_replica("engine-1")
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
         await until(lambda: second.get("peers", Peers).live_count() == 1)
@@ -57,9 +60,12 @@
         assert replica.engine.running == 0
         assert first.get("peers", Peers).live_count() == 1
 
-    async def test_suspicion_is_told_to_the_other(self, fleet):
-        """An engine dies. The entry that meets it first tells the others, so that they don't each
-        lose requests to it before its entry leaves the store."""
+    async def test_suspicion_is_gossiped_to_peers(self, fleet):
+        """Guards against each entry losing requests to a dead engine.
+
+        The entry that detects the failure first gossips it, before the engine's registration
+        expires in the store.
+        """
         for number in (1, 2):
             await fleet.add_replica(f"engine-{number}")
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
@@ -73,9 +79,12 @@
 class TestConfiguration:
     """Versions of the configuration."""
 
-    async def test_entry_without_the_store_learns_it_from_a_peer(self, fleet):
-        """The store turns one entry away while it serves the other. A route that was taken away
-        would go on being served by that entry, if its peer didn't tell it."""
+    async def test_entry_without_the_store_gets_it_from_a_peer(self, fleet):
+        """Guards against an entry that keeps serving a removed route.
+
+        The store rejects the calls of one entry and serves the other, so the new configuration only
+        arrives from the peer.
+        """
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
         await until(lambda: second.get("peers", Peers).live_count() == 1)
         fleet.cut_from_store.add(2)
@@ -83,23 +92,26 @@
         await until(lambda: version_of(first) == 7)
         await until(lambda: version_of(second) == 7)
 
-    async def test_older_version_never_comes_back(self, served):
+    async def test_older_version_is_ignored(self, served):
         served.configure(make_configuration(9))
         await until(lambda: version_of(served.kernels[0]) == 9)
         served.configure(make_configuration(3, routes=[make_route("old", "idempotent", "desk")]))
         await trio.sleep(0.2)
         assert version_of(served.kernels[0]) == 9
 
-    async def test_entry_without_configuration_is_not_ready_and_says_not_run(self, fleet):
+    async def test_entry_without_configuration_refuses_with_retry_after(self, fleet):
         fleet.store.refuses_with = 503
         await fleet.add_entry()
         answer = await fleet.call("/look/x")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_request_in_the_first_moment_waits_for_the_configuration(self, fleet):
-        """Callers return right after a restart. Their requests arrive before the first read of the
-        store ends; refused, they would come back to be refused again."""
+    async def test_early_request_waits_for_the_configuration(self, fleet):
+        """Guards against refusing requests that arrive right after a restart.
+
+        Callers reconnect before the first read of the store completes; their retries would be
+        refused as well.
+        """
         await fleet.add_replica("desk-1", "desk")
         fleet.store.refuses_with = 503
         await fleet.add_entry()
@@ -116,22 +128,22 @@
 
 
 class TestQuickSuccession:
-    """Large configurations that follow each other quickly."""
+    """Large configurations in quick succession."""
 
     ROUTES = 1500
     ENTRIES = 6
     LINK_BYTES_PER_S = 2_500_000
 
     def large(self, version: int) -> dict:
-        """Return a configuration of some 400 KB."""
+        """Return a configuration of about 400 KB."""
         routes = [make_route(f"r-{version}-{n}", "idempotent", "desk") for n in range(self.ROUTES)]
         return make_configuration(version, routes=routes)
 
     @pytest.mark.parametrize("seed", range(3))
-    async def test_each_entry_fetches_little_and_all_have_the_last_one_in_time(
+    async def test_entries_converge_in_time_with_few_transfers(
         self, autojump_clock, seeded_fleet, seeded_network, monkeypatch
     ):
-        """Guards against entries that fill each other's links by asking every peer for news."""
+        """Guards against saturated links when each entry requests changes from every peer."""
         fleet = seeded_fleet
         sent_bytes: list[int] = []
 
@@ -155,16 +167,19 @@
 
 
 class TestStore:
-    """A store that is away or forgets."""
+    """Store outages, lost history and outdated registrations."""
 
-    async def test_serving_goes_on_without_it(self, served):
+    async def test_requests_are_served_during_an_outage(self, served):
         served.store.is_silent = True
         await trio.sleep(1.2)
         assert (await served.call("/look/x")).status == 200
 
-    async def test_history_gone_is_read_anew(self, served):
-        """The store drops its history while an entry's watch is cut. A server that left in between
-        would stay known for ever, if the entry went on from the old revision."""
+    async def test_compacted_history_causes_a_new_read(self, served):
+        """Guards against keeping a removed server forever.
+
+        The store compacts its history while an entry's watch is interrupted. Resuming the watch
+        from the old revision would miss the removal.
+        """
         served.store.refuses_with = 503
         await trio.sleep(1.3)
         served.store.remove("servers/desk-1")
@@ -173,7 +188,7 @@
         beliefs = served.kernels[0].get("beliefs", Beliefs)
         await until(lambda: beliefs.server("desk-1") is None, 5.0)
 
-    async def test_draining_server_gets_nothing_new(self, served):
+    async def test_draining_server_gets_no_new_requests(self, served):
         replica = served.replicas["desk-1"]
         served.store.put("servers/desk-1", replica.entry(is_draining=True))
         await trio.sleep(0.1)
@@ -181,44 +196,54 @@
             await served.call("/look/x")
         assert not replica.seen
 
-    async def test_new_life_at_the_same_address_is_told_apart(self, served):
-        """A server restarts at its address under a new id before the store has the new entry. The
-        request names the server it is for; the new one turns it away, and another one answers."""
+    async def test_other_server_at_the_same_address_is_detected(self, served):
+        """Guards against a request reaching a different server at a known address.
+
+        A server restarts at its address under a new id before its registration is updated. The
+        request names the expected server, so the new one rejects it and another server responds.
+        """
         served.replicas["desk-1"].server_id = "desk-1-reborn"
         for _ in range(4):
             assert (await served.call("/look/x")).status == 200
         assert not served.replicas["desk-1"].runs
 
 
-class TestLives:
-    """Servers that start again under the id that they had."""
+class TestIncarnations:
+    """Servers that restart under the same id."""
 
-    def start_again(self, fleet, server_id: str) -> None:
+    def restart(self, fleet, server_id: str) -> None:
         replica = fleet.replicas[server_id]
         replica.born_ms = (replica.born_ms or 1_790_000_000_000) + 60_000
         fleet.store.put(f"servers/{server_id}", replica.entry())
 
-    async def test_next_life_is_not_suspected_for_the_former_one(self, served):
-        """An engine crashes, is suspected for eight seconds, and is back after one under its id.
-        Everything known of the dead one would keep requests from the healthy new one, and what it
-        had under way would fill slots that are free."""
+    async def test_suspicion_does_not_apply_to_the_next_incarnation(self, served):
+        """Guards against applying state of a crashed engine to its next incarnation.
+
+        An engine crashes, is suspected for 8 s and restarts after 1 s under the same id. The
+        suspicion would keep requests from the healthy engine, and the in-flight work of the
+        crashed one would occupy slots that are free.
+        """
         kernel = served.kernels[0]
         beliefs, sight = kernel.get("beliefs", Beliefs), kernel.get("sight", Sight)
-        self.start_again(served, "engine-1")
+        self.restart(served, "engine-1")
         await until(lambda: beliefs.server("engine-1").born_ms is not None)
-        former = beliefs.server("engine-1")
+        previous = beliefs.server("engine-1")
         for _ in range(4):
-            sight.note_failure(former, "nobody answers", "r", is_clear=True)
-        sight.ledger.add(Flight(former.life_id, Lane.SHORT, {former.life_id: 9_000}), 0.0)
-        self.start_again(served, "engine-1")
-        await until(lambda: beliefs.server("engine-1") != former)
+            sight.note_failure(previous, "nobody answers", "r", is_clear=True)
+        sight.ledger.add(Flight(previous.life_id, Lane.SHORT, {previous.life_id: 9_000}), 0.0)
+        self.restart(served, "engine-1")
+        await until(lambda: beliefs.server("engine-1") != previous)
         views = {view.server.server_id: view for view in sight.views("engines", set())}
         assert not views["engine-1"].is_suspect
         assert views["engine-1"].work.tokens == 0
 
-    async def test_booking_that_may_have_run_in_the_former_life_is_not_repeated(self, served):
-        """A desk takes a booking, crashes and is back under its id before the caller has heard.
-        Sent again to the new life, which knows nothing of before, the booking would be made twice.
+    async def test_booking_that_may_have_run_in_the_previous_incarnation_is_not_retried(
+        self, served
+    ):
+        """Guards against running a non-idempotent request twice.
+
+        A server receives a booking, crashes and restarts under the same id before it responds. The
+        new incarnation doesn't know the request, so a retry would book twice.
         """
         for number in (1, 2):
             served.replicas[f"desk-{number}"].resets_after_run = True
@@ -232,28 +257,31 @@
             nursery.start_soon(book)
             await trio.sleep(0.1)
             for number in (1, 2):
-                self.start_again(served, f"desk-{number}")
+                self.restart(served, f"desk-{number}")
         assert answers[0].status in (502, 504)
         assert sum(served.replicas[f"desk-{n}"].runs.count("b1") for n in (1, 2)) == 1
 
-    async def test_connection_kept_from_the_former_life_is_not_used(self, served):
+    async def test_connection_to_the_previous_incarnation_is_not_reused(self, served):
         kernel = served.kernels[0]
         beliefs = kernel.get("beliefs", Beliefs)
         connections = kernel.get("path", RequestPath).services.attempts.pool
         for _ in range(4):
             await served.call("/look/x")
-        former = beliefs.server("desk-1")
-        self.start_again(served, "desk-1")
-        await until(lambda: beliefs.server("desk-1") != former)
+        previous = beliefs.server("desk-1")
+        self.restart(served, "desk-1")
+        await until(lambda: beliefs.server("desk-1") != previous)
         assert await connections.take(beliefs.server("desk-1")) is None
 
 
-class TestCallsOfTheStore:
-    """What the store is asked, and by how many."""
+class TestStoreCalls:
+    """Number of calls to the store."""
 
-    async def test_entry_that_starts_finds_the_others_and_does_not_watch(self, fleet):
-        """All entries are killed and start together. Each wrote its address, read the others', and
-        watched until it knew that others do: six calls each, and each call is paid for."""
+    async def test_starting_entry_finds_the_others_without_a_watch(self, fleet):
+        """Guards against unnecessary store calls when all entries restart together.
+
+        Store calls are billed. Each entry used to make six: it wrote its address, read the others'
+        and watched until it knew that others watch.
+        """
         numbers = sorted((1, 2, 3, 4), key=lambda n: link_rank(fleet.entry_settings(n).host, 1000))
         for number in numbers[:3]:
             await fleet.add_entry(number)
@@ -266,8 +294,11 @@
         }
         assert calls == {"/kv-range": 1, "/kv-lease": 1, "/kv-txn": 1}
 
-    async def test_entry_that_starts_again_renews_its_address(self, fleet):
-        """A killed process is back within a second; its address still stands in the store."""
+    async def test_restarted_entry_renews_its_lease(self, fleet):
+        """Guards against a new lease and write when a killed entry restarts within 1 s.
+
+        Its address is still in the store, so it only renews the lease.
+        """
         settings, store = fleet.entry_settings(1), fleet.store_client(1)
         for _ in range(2):
             async with trio.open_nursery() as nursery:
@@ -277,9 +308,12 @@
         assert fleet.store_calls[1, "/kv-txn"] == fleet.store_calls[1, "/kv-lease"] == 1
         assert fleet.store_calls[1, "/kv-keep"] == 1
 
-    async def test_lost_store_is_tried_often_by_few(self, fleet):
-        """The store turns all away for some seconds. Each entry tried it twice a second; the first
-        that is answered tells the others, so that six of them are enough."""
+    async def test_few_entries_poll_an_unavailable_store(self, fleet):
+        """Guards against all entries polling an unavailable store.
+
+        The store rejects all calls for some seconds. Each entry used to retry twice a second; six
+        are enough, because the first that gets a response informs the others.
+        """
         entries = [await fleet.add_entry(number) for number in range(1, 13)]
         await until(lambda: all(k.get("peers", Peers).live_count() == 11 for k in entries))
         fleet.store.refuses_with = 503
@@ -294,13 +328,16 @@
         await until(lambda: all(version_of(kernel) == 5 for kernel in entries), 2.0)
 
 
-class TestLapsedEntries:
-    """Entries of servers that ran out while the store was away."""
+class TestExpiredRegistrations:
+    """Registrations that expire during a store outage."""
 
-    async def test_entry_that_only_hears_of_the_return_keeps_the_servers_too(self, fleet):
-        """The store was away; its first change on return removes a live server, which is back a
-        second later. An entry that doesn't watch hears of the removal from a peer. If it dropped
-        the server at once, it would refuse requests that the server could run."""
+    async def test_entry_without_a_watch_keeps_expired_servers_too(self, fleet):
+        """Guards against dropping a live server whose registration expired in a store outage.
+
+        The first change after the outage removes the server, which registers again 1 s later. An
+        entry that doesn't watch the store learns of the removal from a peer. If it dropped the
+        server at once, it would refuse requests that the server could run.
+        """
         replica = await fleet.add_replica("desk-1", "desk")
         entries = [await fleet.add_entry(number) for number in (1, 2, 3)]
         beliefs = [kernel.get("beliefs", Beliefs) for kernel in entries]
@@ -317,12 +354,17 @@
         assert all(belief.servers_of("desk") for belief in beliefs)
 
 
-class TestReplacedServers:
-    """Servers that leave for good, one after the other."""
+class TestRemovedServers:
+    """Servers that are removed permanently."""
 
-    async def test_nothing_is_kept_of_a_server_that_left(self, served, monkeypatch):
-        """Engines are replaced all day long. The idle connections to each one that left stay open,
-        with what was noted of it, until the entry has no descriptors left and refuses callers."""
+    async def test_connections_and_suspicions_of_removed_servers_are_dropped(
+        self, served, monkeypatch
+    ):
+        """Guards against a leak of connections and state when servers are replaced continually.
+
+        Idle connections to removed servers would stay open until the entry runs out of file
+        descriptors and refuses callers.
+        """
         monkeypatch.setattr(pool, "IDLE_TIME_S", 0.1)
         kernel = served.kernels[0]
         path = kernel.get("path", RequestPath)
@@ -337,12 +379,14 @@
         await until(lambda: not path.services.sight.suspicion.suspects(0.0), 1.0)
 
 
-class TestStopping:
-    """A process that is asked to stop."""
+class TestShutdown:
+    """Graceful shutdown of an entry."""
+
+    async def test_in_flight_stream_completes_and_new_responses_close_the_connection(self, served):
+        """Guards against truncated streams and stranded callers in a rolling restart.
 
-    async def test_stream_under_way_is_finished_and_new_ones_close_the_connection(self, served):
-        """A roll stops an entry while a stream runs and callers hold open connections. The stream
-        must end whole, and callers must learn to connect elsewhere."""
+        An in-flight stream must complete, and new responses must tell callers to reconnect.
+        """
         kernel = served.kernels[0]
         async with trio.open_nursery() as nursery:
             answers = []
@@ -359,19 +403,21 @@
         assert late.headers["connection"] == "close"
         assert answers[0].is_whole
 
-    async def test_ports_are_free_when_it_has_ended(self, fleet):
-        """An entry ends and another one begins at the same address. If the first still held its
-        port for datagrams, the second could not start."""
+    async def test_ports_are_free_after_the_shutdown(self, fleet):
+        """Guards against a UDP port that stays open after an entry has stopped.
+
+        The next entry at the same address couldn't start.
+        """
         async with trio.open_nursery() as nursery:
             settings = fleet.entry_settings(9)
             store = fleet.store_client(9)
             kernel = make_kernel(settings, PlatformDialect(), store)
             await nursery.start(kernel.run)
             nursery.cancel_scope.cancel()
-        with socket.socket(type=socket.SOCK_DGRAM) as next_one:
-            next_one.bind((settings.host, settings.peer_port))
+        with socket.socket(type=socket.SOCK_DGRAM) as next_socket:
+            next_socket.bind((settings.host, settings.peer_port))
 
-    async def test_idle_connection_is_closed_before_the_process_ends(self, served):
+    async def test_idle_connection_is_closed_at_shutdown(self, served):
         connection = await served.connect()
         await exchange_on(connection, "POST", "/look/x", request_fields(), b"")
         served.kernels[0].request_stop()
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the backend servers that run them, and good ones beside them."""
+"""Quarantine of requests that crash backend servers, with concurrent harmless requests."""
 
 from __future__ import annotations
 
@@ -22,31 +22,33 @@
     start_fleet,
 )
 
-MOST_AFTER_THE_THIRD = 3
-"""Servers that may still be sent such a request after three have crashed under it; what operators
-allow."""
+MAX_SERVERS_AFTER_QUARANTINE = 3
+"""Operators' limit on the servers that still get a harmful request after it has crashed three."""
 
 
-class TestRepeatedRequest:
-    """A request that crashes servers, and that its caller repeats."""
+class TestRetriedRequest:
+    """A request that crashes servers and is retried by its caller."""
 
     @pytest.mark.parametrize(
         ("path", "prompt"),
         [("/note/x", "1000,340"), ("/look/x", None), ("/book/x", None)],
         ids=["stream", "repeatable", "once"],
     )
-    async def test_reaches_few_servers_whichever_entry_it_comes_to(self, fleet, path, prompt):
-        """Guards against the loss of a fleet when entries don't compare what lost servers ran."""
+    async def test_reaches_few_servers_through_any_entry(self, fleet, path, prompt):
+        """Guards against the loss of a fleet when entries don't correlate server crashes."""
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet)
         for number in range(9):
             await fleet.call(path, entry=1 + number % 3, body=HARMFUL, prompt=prompt)
             await trio.sleep(0.3)
-        assert len(harmful_arrivals(fleet)) <= 3 + MOST_AFTER_THE_THIRD
+        assert len(harmful_arrivals(fleet)) <= 3 + MAX_SERVERS_AFTER_QUARANTINE
         assert len(fleet.crashed) <= 4
 
-    async def test_caller_hears_the_true_reason_at_once(self, fleet):
-        """Guards against a late or silent refusal; in the first second it may be cleared soon."""
+    async def test_caller_gets_the_reason_at_once(self, fleet):
+        """Guards against a slow refusal or one without a reason.
+
+        In the first second the suspicion may still be cleared, so the retry delay is short.
+        """
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet, entries=1)
         for _ in range(4):
@@ -62,8 +64,8 @@
         assert "3 backend servers" in problem["detail"]
         assert float(answer.headers["retry-after"]) > 60.0
 
-    async def test_counts_servers_whose_hosts_go_silent_with_them(self, fleet):
-        """Guards against crashes going unseen where a whole host falls silent."""
+    async def test_counts_servers_on_unresponsive_hosts(self, fleet):
+        """Guards against undetected crashes when the whole host stops responding."""
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet)
         for number in range(1, 7):
@@ -77,22 +79,22 @@
         assert len(harmful_arrivals(fleet)) <= 4
         await assert_refused(fleet, 2, "/look/x", None)
 
-    async def test_counts_servers_whose_ports_still_take_connections(self, fleet):
-        """Guards against crashes going unseen where a supervisor holds the port of a server."""
+    async def test_counts_servers_whose_ports_still_accept_connections(self, fleet):
+        """Guards against undetected crashes when a supervisor keeps the server's port open."""
         fleet.harmful_bodies.add(HARMFUL)
         fleet.drops_after_crash_s = 2.0
         await start_fleet(fleet)
         for number in range(9):
             await fleet.call("/note/x", entry=1 + number % 3, body=HARMFUL, prompt="1000,340")
             await trio.sleep(0.3)
-        assert len(harmful_arrivals(fleet)) <= CRASHES + MOST_AFTER_THE_THIRD
+        assert len(harmful_arrivals(fleet)) <= CRASHES + MAX_SERVERS_AFTER_QUARANTINE
         assert len(fleet.crashed) <= CRASHES + 1
         await trio.sleep(fleet.drops_after_crash_s)
         answer = await fleet.call("/note/x", body=HARMFUL, prompt="1000,340")
         assert float(answer.headers["retry-after"]) > 60.0
 
-    async def test_stream_that_is_taken_up_again_is_the_same_request(self, fleet):
-        """Guards against a caller's place in the stream making it another request."""
+    async def test_resumed_stream_is_the_same_request(self, fleet):
+        """Guards against treating a resumed stream as a different request."""
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet)
         for number in range(6):
@@ -103,8 +105,8 @@
             await trio.sleep(0.1)
         assert len(fleet.crashed) == 3
 
-    async def test_helpers_that_read_for_it_are_spared(self, fleet):
-        """Guards against counting engines that only read for a long prompt."""
+    async def test_prefill_helpers_are_not_counted(self, fleet):
+        """Guards against counting prefill helpers as engines that run the request."""
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet, entries=2, engines=8)
         for number in range(5):
@@ -114,8 +116,8 @@
         assert any(helped)
         assert len(fleet.crashed) == 3
 
-    async def test_many_callers_at_once_cost_few_servers(self, fleet):
-        """Guards against running what still waits for a slot when its prompt is quarantined."""
+    async def test_concurrent_callers_crash_few_servers(self, fleet):
+        """Guards against running requests that were queued before their prompt was quarantined."""
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet, engines=10)
         async with trio.open_nursery() as nursery:
@@ -134,13 +136,13 @@
         assert len(fleet.crashed) < 10
 
 
-class TestInnocentRequests:
-    """Good requests on servers that are lost."""
+class TestHarmlessRequests:
+    """Harmless requests on servers that crash or leave."""
 
-    GOOD = b"a good prompt"
+    HARMLESS = b"a good prompt"
 
     def crashes(self, fleet) -> list[str]:
-        """Return the servers that entries found to have crashed under a request."""
+        """Return the servers whose crashes the entries attributed to requests."""
         return [
             record["fields"]["server_id"]
             for kernel in fleet.kernels
@@ -148,12 +150,12 @@
             if record["name"] == "ServerCrashed"
         ]
 
-    async def ask_while(self, fleet, harm) -> None:
-        """Ask for a good prompt three times, each time harming the server that runs it."""
+    async def send_while(self, fleet, harm) -> None:
+        """Send a harmless prompt three times and call `harm` on the server that runs it."""
         for _ in range(3):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    partial(fleet.call, "/note/x", body=self.GOOD, prompt="1000,1700")
+                    partial(fleet.call, "/note/x", body=self.HARMLESS, prompt="1000,1700")
                 )
                 await until(lambda: any(r.engine and r.engine.running for r in alive(fleet)))
                 await trio.sleep(0.1)
@@ -162,14 +164,14 @@
             await trio.sleep(0.1)
 
     @pytest.mark.parametrize("seed", [*range(12), 28, 41, 48, 49, 62, 71, 72, 88])
-    async def test_beside_a_harmful_one_are_answered_in_the_end(self, autojump_clock, seeded_fleet):
-        """Guards against refusing good prompts that are sent on beside the harmful one."""
+    async def test_all_succeed_next_to_a_harmful_one(self, autojump_clock, seeded_fleet):
+        """Guards against refusing harmless prompts that are retried next to a harmful one."""
         fleet = seeded_fleet
         fleet.harmful_bodies.add(HARMFUL)
         await start_fleet(fleet, engines=8)
         statuses: list[int] = []
 
-        async def ask(number: int) -> None:
+        async def send(number: int) -> None:
             body = f"good prompt {number}".encode()
             await trio.sleep(0.02 * number)
             for attempt in range(4):
@@ -184,23 +186,23 @@
 
         async with trio.open_nursery() as nursery:
             for number in range(24):
-                nursery.start_soon(ask, number)
+                nursery.start_soon(send, number)
             for number in range(6):
                 await trio.sleep(0.1)
                 await fleet.call("/note/x", entry=1 + number % 3, body=HARMFUL, prompt="1000,340")
         assert statuses == [200] * 24
 
-    async def test_server_that_only_resets_its_connections_has_not_crashed(self, fleet):
-        """Guards against taking a link's resets for a crash."""
+    async def test_connection_resets_are_no_crash(self, fleet):
+        """Guards against mistaking connection resets for a crash."""
         await start_fleet(fleet, entries=1)
         for replica in fleet.replicas.values():
             replica.breaks_after_events = 2
         for _ in range(4):
-            await fleet.call("/note/x", body=self.GOOD, prompt="1000,340")
+            await fleet.call("/note/x", body=self.HARMLESS, prompt="1000,340")
         assert not self.crashes(fleet)
 
-    async def test_server_that_leaves_by_plan_has_not_crashed(self, fleet):
-        """Guards against holding the end of a draining server against what it still ran."""
+    async def test_exit_of_a_draining_server_is_no_crash(self, fleet):
+        """Guards against blaming in-flight requests for the exit of a draining server."""
         await start_fleet(fleet, entries=1, engines=8)
 
         async def drain(replica) -> None:
@@ -208,12 +210,12 @@
             await trio.sleep(0.2)
             replica.crash()
 
-        await self.ask_while(fleet, drain)
+        await self.send_while(fleet, drain)
         assert len(fleet.crashed) == 3
         assert not self.crashes(fleet)
 
-    async def test_server_that_has_said_that_it_leaves_has_not_crashed(self, fleet):
-        """Guards against holding a server's announced end against what it still ran."""
+    async def test_announced_exit_is_no_crash(self, fleet):
+        """Guards against blaming in-flight requests for an exit that the server announced."""
         await start_fleet(fleet, entries=1, engines=8)
         backpressure = fleet.kernels[0].get("backpressure", Backpressure)
         beliefs = fleet.kernels[0].get("beliefs", Beliefs)
@@ -223,31 +225,35 @@
             backpressure.note_answer(server, ServerAsks(is_leaving=True))
             replica.crash()
 
-        await self.ask_while(fleet, leave)
+        await self.send_while(fleet, leave)
         assert len(fleet.crashed) == 3
         assert not self.crashes(fleet)
 
-    async def test_server_that_is_killed_for_its_memory_counts_once(self, fleet):
-        """Guards against adding up crashes of a prompt that is answered in between."""
+    async def test_crashes_before_a_success_are_not_added_up(self, fleet):
+        """Guards against adding up crashes of a prompt that succeeds in between."""
         await start_fleet(fleet, entries=1, engines=8)
 
         async def kill(replica) -> None:
             replica.crash()
 
-        await self.ask_while(fleet, kill)
+        await self.send_while(fleet, kill)
         assert len(set(self.crashes(fleet))) == 3
-        answer = await fleet.call("/note/x", body=self.GOOD, prompt="1000,34")
+        answer = await fleet.call("/note/x", body=self.HARMLESS, prompt="1000,34")
         assert answer.status == 200
 
-    async def test_rack_that_is_lost_leaves_a_popular_prompt_free(self, fleet):
-        """Guards against a verdict on a popular prompt when servers are lost together."""
+    async def test_popular_prompt_is_not_quarantined_after_a_rack_failure(self, fleet):
+        """Guards against quarantining a popular prompt when several servers fail together."""
         await start_fleet(fleet, entries=2)
         for entry in (1, 2):
-            await fleet.call("/note/x", entry=entry, body=self.GOOD, prompt="1000,34")
+            await fleet.call("/note/x", entry=entry, body=self.HARMLESS, prompt="1000,34")
         async with trio.open_nursery() as nursery:
             for number in range(36):
                 call = partial(
-                    fleet.call, "/note/x", entry=1 + number % 2, body=self.GOOD, prompt="1000,1700"
+                    fleet.call,
+                    "/note/x",
+                    entry=1 + number % 2,
+                    body=self.HARMLESS,
+                    prompt="1000,1700",
                 )
                 nursery.start_soon(call)
             await trio.sleep(0.3)
@@ -256,5 +262,5 @@
                 replica.crash()
         assert len(set(self.crashes(fleet))) == 3
         for entry in (1, 2):
-            answer = await fleet.call("/note/x", entry=entry, body=self.GOOD, prompt="1000,34")
+            answer = await fleet.call("/note/x", entry=entry, body=self.HARMLESS, prompt="1000,34")
             assert answer.status == 200
--- a/packages/testing/tests/platform/test_load_replay.py
+++ b/packages/testing/tests/platform/test_load_replay.py
@@ -1,4 +1,4 @@
-"""Loads beyond what engines usually take, replayed on the product's own decisions."""
+"""Replays of overload with the routing and admission decisions of the proxy."""
 
 from __future__ import annotations
 
@@ -28,31 +28,33 @@
     FIGURES, engines=78, entries=22, kinds=(QUESTION, QUOTE, DOSSIER), news_gap_s=0.088
 )
 
-LENGTH_S = 12.0
+DURATION_S = 12.0
 BURST_FROM_S = 2.0
 BURST_UNTIL_S = 12.0
 
 
 async def replay(factor: float, seed: int) -> list[Outcome]:
-    """Replay a load of several times the usual; the test needs a mock clock."""
+    """Replay the usual load multiplied by a factor; the test needs a mock clock."""
     bursts = [Burst(BURST_FROM_S, BURST_UNTIL_S, factor)]
-    arrivals = make_arrivals(FLEET, bursts, LENGTH_S, seed)
+    arrivals = make_arrivals(FLEET, bursts, DURATION_S, seed)
     return await LoadReplay(FLEET, seed).run(arrivals)
 
 
-class TestBeyondTheKnee:
-    """Engines have time for about 2.5 times the usual load, if none of it is lost."""
+class TestOverload:
+    """Load around capacity, which is about 2.5 times the usual load if no engine time is wasted."""
 
-    async def test_twice_the_usual_load_is_answered_in_time(self, autojump_clock):
+    async def test_twice_the_usual_load_is_served_in_time(self, autojump_clock):
         outcomes = await replay(2.0, 1)
         assert share_of_value(outcomes) > 0.9
 
-    async def test_at_the_knee_few_are_late(self, autojump_clock):
-        """All that came was let in. Engines read the newest part first, so that each further
-        dossier delayed those before it; engines that write beside so much reading keep their slots
-        two to three times as long, and short prompts filled nine in ten engines. Of 1,653
-        questions 368 were in time, of 55 dossiers 31, and the system believed in 550 s of reading
-        where 30 s were left."""
+    async def test_few_are_late_at_capacity(self, autojump_clock):
+        """Guards against overload without admission control.
+
+        When all requests were admitted, 368 of 1,653 questions and 31 of 55 dossiers were in time.
+        Engines prefill the newest part first, so each further dossier delayed the earlier ones.
+        Decode next to so much prefill holds slots two to three times as long, and short prompts
+        filled nine in ten engines. The estimated prefill backlog was 550 s when 30 s were left.
+        """
         outcomes = await replay(2.5, 1)
         assert share_of_value(outcomes, "question") > 0.85
         assert share_of_value(outcomes, "quote") > 0.75
@@ -71,11 +73,11 @@
 )
 
 
-class TestLimitedEngines:
-    """All engines name limits, of about what comes."""
+class TestRateLimitedEngines:
+    """Engines whose rate limits are close to the request rate."""
 
-    async def test_dossiers_are_answered_and_limits_hold(self, autojump_clock):
-        """Guards against parts of long prompts that add up beyond the engines' limits."""
+    async def test_dossiers_are_served_and_limits_hold(self, autojump_clock):
+        """Guards against prefill parts of long prompts that together exceed the rate limits."""
         arrivals = make_arrivals(SONDRIO_LIKE, [], 20.0, 2)
         replay = LoadReplay(SONDRIO_LIKE, 2, dict.fromkeys(range(14), 1.5))
         outcomes = await replay.run(arrivals)
--- a/packages/testing/tests/platform/test_malformed.py
+++ b/packages/testing/tests/platform/test_malformed.py
@@ -1,4 +1,4 @@
-"""Callers' bytes that are no proper request: a clear error, and nothing is passed on."""
+"""Malformed input: it gets a clear error and never reaches a backend server."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def send_raw(fleet, data: bytes) -> bytes:
-    """Send bytes and return what comes until the connection ends or pauses."""
+    """Send bytes and return what arrives until the connection closes or 1 s passes."""
     connection = await fleet.connect()
     received = b""
     await connection.send_bytes(data)
@@ -32,12 +32,12 @@
 
 
 def status_of(received: bytes) -> int:
-    """Return the status of an answer's first line."""
+    """Return the status code of a raw response."""
     return int(received.split(b" ", 2)[1])
 
 
-class TestBytes:
-    """Bytes at the parser's boundary."""
+class TestMalformedRequests:
+    """Malformed and ambiguous requests on the wire."""
 
     @pytest.mark.parametrize(
         ("data", "status"),
@@ -53,32 +53,35 @@
             ("\x00\x01\x02\r\n\r\n", 400),
         ],
     )
-    async def test_is_answered_and_not_passed_on(self, served, data, status):
+    async def test_is_rejected_and_not_forwarded(self, served, data, status):
         received = await send_raw(served, data.encode("latin-1"))
         assert status_of(received) == status
         assert not any(replica.seen for replica in served.replicas.values())
 
-    async def test_slow_header_is_given_up(self, served):
+    async def test_slow_header_times_out(self, served):
         received = await send_raw(served, b"POST /look/x HTTP/1.1\r\nHost:")
         assert status_of(received) == 408
 
     async def test_smuggled_request_is_never_run(self, served):
-        """A body that looks like a request follows the one that a length covers. If lengths were
-        read differently on the two sides, a server would run it for another customer."""
+        """Guards against request smuggling.
+
+        The body is itself a valid request. If proxy and server disagreed on the body length, the
+        server would run it for another customer.
+        """
         inner = f"POST /book/x HTTP/1.1\r\nHost: {HOST_NAME}\r\nAttempt-Id: evil\r\n\r\n"
         head = HEAD + f"Attempt-Id: good\r\nContent-Length: {len(inner)}\r\n\r\n"
         received = await send_raw(served, (head + inner).encode())
         assert status_of(received) == 200
         assert [run for replica in served.replicas.values() for run in replica.runs] == ["good"]
 
-    async def test_entry_lives_after_all_of_it(self, served):
+    async def test_entry_survives_malformed_input(self, served):
         for data in (b"\xff" * 100, b"GET", b"\r\n\r\n", HEAD.encode() * 3):
             await send_raw(served, data)
         assert (await served.call("/look/x")).status == 200
 
 
 class TestHeaderFuzz:
-    """Header fields of any content."""
+    """Arbitrary header fields and documents."""
 
     @settings(max_examples=200, suppress_health_check=[HealthCheck.too_slow], deadline=None)
     @given(
@@ -91,7 +94,7 @@
             )
         )
     )
-    def test_facts_or_a_typed_error(self, fields):
+    def test_fields_are_decoded_or_raise_a_typed_error(self, fields):
         try:
             facts = PlatformDialect().read_request(fields)
         except DocumentInvalid:
@@ -106,7 +109,7 @@
             with pytest.raises(DocumentInvalid):
                 decode(value)
 
-    def test_answer_with_two_lengths_is_no_answer(self):
+    def test_response_with_two_lengths_is_rejected(self):
         connection = h11.Connection(h11.CLIENT)
         connection.send(h11.Request(method="GET", target="/", headers=[("host", "a")]))
         connection.send(h11.EndOfMessage())
@@ -117,7 +120,7 @@
             connection.next_event()
 
 
-GOOD_ENTRY = {
+VALID_REGISTRATION = {
     "service": "engines",
     "address": "10.0.0.7:8080",
     "zone": "here",
@@ -137,16 +140,18 @@
 
 
 class TestForeignDocuments:
-    """Entries, configurations and datagrams that somebody else wrote."""
+    """Registrations, configurations, datagrams and reports from foreign writers."""
 
-    def test_entry_as_servers_write_it_names_one(self):
-        server = PlatformDialect().decode_server("servers/i-1", json.dumps(GOOD_ENTRY).encode())
-        assert server.born_ms == GOOD_ENTRY["born"]
-        assert str(server.address) == GOOD_ENTRY["address"]
+    def test_valid_registration_is_decoded(self):
+        server = PlatformDialect().decode_server(
+            "servers/i-1", json.dumps(VALID_REGISTRATION).encode()
+        )
+        assert server.born_ms == VALID_REGISTRATION["born"]
+        assert str(server.address) == VALID_REGISTRATION["address"]
 
-    @pytest.mark.parametrize("name", [name for name in GOOD_ENTRY if name != "born"])
-    def test_entry_without_a_field_names_no_server(self, name):
-        fields = {key: value for key, value in GOOD_ENTRY.items() if key != name}
+    @pytest.mark.parametrize("name", [name for name in VALID_REGISTRATION if name != "born"])
+    def test_registration_with_a_missing_field_is_rejected(self, name):
+        fields = {key: value for key, value in VALID_REGISTRATION.items() if key != name}
         with pytest.raises(DocumentInvalid):
             PlatformDialect().decode_server("servers/i-1", json.dumps(fields).encode())
 
@@ -169,16 +174,19 @@
             {"seqNo": "3"},
         ],
     )
-    def test_entry_with_a_foreign_field_names_no_server(self, change):
-        fields = json.dumps({**GOOD_ENTRY, **change}).encode()
+    def test_registration_with_an_invalid_field_is_rejected(self, change):
+        fields = json.dumps({**VALID_REGISTRATION, **change}).encode()
         with pytest.raises(DocumentInvalid):
             PlatformDialect().decode_server("servers/i-1", fields)
 
     @pytest.mark.parametrize("server_id", ["", "a/b", "i-1\r\nTenant: x", "x" * 200])
-    def test_key_that_is_no_id_names_no_server(self, server_id):
-        """The id becomes a header field of requests; a line break in it would add fields."""
+    def test_registration_with_an_invalid_id_is_rejected(self, server_id):
+        """Guards against header injection: the id is sent in a header field, and a line break in it
+        would add fields."""
         with pytest.raises(DocumentInvalid):
-            PlatformDialect().decode_server(f"servers/{server_id}", json.dumps(GOOD_ENTRY).encode())
+            PlatformDialect().decode_server(
+                f"servers/{server_id}", json.dumps(VALID_REGISTRATION).encode()
+            )
 
     @pytest.mark.parametrize("value", [b"[" * 50_000, b"[" * 900_000, b'"' + b"a" * 900_000 + b'"'])
     def test_huge_or_deep_document_is_a_typed_error(self, value):
@@ -188,9 +196,9 @@
                 decode(value)
 
     @settings(max_examples=300, deadline=None)
-    @given(st.sampled_from(sorted(GOOD_ENTRY)), ANY_JSON)
-    def test_entry_with_any_value_is_a_server_or_a_typed_error(self, name, value):
-        fields = json.dumps({**GOOD_ENTRY, name: value}).encode()
+    @given(st.sampled_from(sorted(VALID_REGISTRATION)), ANY_JSON)
+    def test_registration_with_any_value_is_a_server_or_a_typed_error(self, name, value):
+        fields = json.dumps({**VALID_REGISTRATION, name: value}).encode()
         try:
             server = PlatformDialect().decode_server("servers/i-1", fields)
         except DocumentInvalid:
@@ -232,8 +240,8 @@
     @example(b"{}")
     @example(b"[]")
     def test_report_of_any_bytes_is_a_typed_error_unless_an_object(self, data):
-        """Each field may be missing, so that an object without any is the report of an engine that
-        works by its figures. Whatever else isn't an object is none."""
+        """Every field is optional, so an empty object is a valid report of an engine at its
+        configured speed. A value that isn't an object is invalid."""
         try:
             is_object = isinstance(json.loads(data), dict)
         except ValueError:
--- a/packages/testing/tests/platform/test_passing_engine.py
+++ b/packages/testing/tests/platform/test_passing_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine, where tests and replays rest on how it reads."""
+"""Prefill order of the simulated engine, on which tests and load replays depend."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def make_engine() -> PassingEngine:
-    """Return an engine with the figures of the usual configuration."""
+    """Return an engine with the performance parameters of the sample configuration."""
     document = json.dumps(make_configuration(1)).encode()
     services = PlatformDialect().decode_configuration(document).services
     figures = services["engines"].engine
@@ -21,20 +21,22 @@
     return PassingEngine(figures)
 
 
-class TestParts:
-    """Parts of prompts that other engines answer."""
+class TestPrefillParts:
+    """Prefill parts for prompts of other engines."""
 
-    async def test_the_latest_part_is_read_first(self, autojump_clock):
-        """The users' engines put each part before all that they still have to read. A prompt whose
-        part came early waits for all later ones, so that its first event comes long after its plan.
+    async def test_latest_part_is_prefilled_first(self, autojump_clock):
+        """Guards against a simulated engine that prefills parts in order of arrival.
+
+        Real engines put each new part ahead of all other prefill work. A prompt with an early part
+        waits for all later parts, so its first event comes much later than predicted.
         """
         engine = make_engine()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(engine.work)
             begin_s = trio.current_time()
-            first = engine.read_part(1000.0)
+            first = engine.prefill_part(1000.0)
             await trio.sleep(0.2)
-            second = engine.read_part(500.0)
+            second = engine.prefill_part(500.0)
             await second.wait()
             assert trio.current_time() - begin_s < 0.75
             assert not first.is_set()
--- a/packages/testing/tests/platform/test_path.py
+++ b/packages/testing/tests/platform/test_path.py
@@ -1,4 +1,4 @@
-"""Requests through one entry, from a caller's socket to a backend server's and back."""
+"""Requests through one entry, end to end between the sockets of caller and backend server."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from sassafrastally.stand_ins.requests import exchange_on, read_answer, request_fields
 
 
-async def answered_during_a_lookup(fleet, prompt: str):
-    """Return the answer to a dossier, which must come while a lookup of a second is under way."""
+async def response_during_a_lookup(fleet, prompt: str):
+    """Return the response to a long prompt; it must arrive while a lookup of 1 s is in flight."""
     desks = [replica for name, replica in fleet.replicas.items() if name.startswith("desk")]
     for desk in desks:
         desk.work_s = 1.0
@@ -29,14 +29,14 @@
 
 
 def event_ids(body: bytes) -> list[int]:
-    """Return the ids of a stream's events in the order in which they came."""
+    """Return the ids of a stream's events, in order."""
     return [int(line[3:]) for line in body.decode().splitlines() if line.startswith("id:")]
 
 
-class TestPassingOn:
-    """What reaches a backend server, and what comes back."""
+class TestForwarding:
+    """Forwarding of requests and responses."""
 
-    async def test_path_body_and_answer_are_unchanged(self, served):
+    async def test_path_body_and_response_are_unchanged(self, served):
         received = await served.call("/look/a/b?c=d", method="POST", body=b"12345")
         assert received.status == 200
         assert json.loads(received.body) == {"target": "/look/a/b?c=d", "length": 5}
@@ -55,7 +55,7 @@
         (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
         assert 4000 < int(seen["deadline-ms"]) <= 5000
 
-    async def test_fields_of_one_connection_are_not_passed_on(self, served):
+    async def test_hop_by_hop_fields_are_not_forwarded(self, served):
         await served.call("/look/x", headers={"Connection": "x-secret", "X-Secret": "1"})
         (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
         assert "x-secret" not in seen
@@ -74,8 +74,8 @@
         await connection.close()
 
 
-class TestRefusing:
-    """Requests that no backend server gets."""
+class TestRefusals:
+    """Routing, authentication and refusals."""
 
     async def test_unknown_route_and_unknown_key(self, served):
         assert (await served.call("/nowhere/x")).status == 404
@@ -83,7 +83,7 @@
         assert answer.status == 401
         assert not any(replica.seen for replica in served.replicas.values())
 
-    async def test_without_servers_says_when_to_come_back(self, fleet):
+    async def test_refusal_without_servers_has_retry_after(self, fleet):
         await fleet.add_entry()
         answer = await fleet.call("/look/x")
         assert answer.status == 503
@@ -109,11 +109,14 @@
 
 
 class TestTimeLimit:
-    """A request that takes longer than its route allows."""
+    """Requests that exceed the time limit of their route."""
 
-    async def test_answer_of_our_own_comes_at_the_limit(self, served):
-        """A server is silent. The caller would wait for its own deadline of four seconds, though
-        the operator wants nobody kept waiting for longer than the route's limit."""
+    async def test_entry_responds_at_the_time_limit(self, served):
+        """Guards against waiting for the caller's deadline when the route's limit is shorter.
+
+        A server doesn't respond. The caller's deadline is 4 s, but the operator's limit for the
+        route is 0.3 s.
+        """
         routes = [make_route("book", "non_idempotent", "desk", timeoutMs=300, maxAttempts=1)]
         served.configure(make_configuration(2, routes=routes))
         for replica in served.replicas.values():
@@ -125,17 +128,20 @@
         assert 0.25 < trio.current_time() - begin_s < 0.6
 
 
-class TestRepeating:
-    """Attempts that bring no answer."""
+class TestRetries:
+    """Retries of failed attempts."""
 
     async def test_refused_request_goes_to_another_server(self, served):
         served.replicas["desk-1"].refuses = True
         for _ in range(4):
             assert (await served.call("/look/x")).status == 200
 
-    async def test_booking_whose_answer_is_lost_runs_once(self, served):
-        """A crew leader books. The server books and its answer is lost with the connection. A
-        second attempt would book twice, and "not run" would make the caller book again."""
+    async def test_booking_with_a_lost_response_runs_once(self, served):
+        """Guards against running a non-idempotent request twice.
+
+        The server runs the request, but the response is lost with the connection. A retry by the
+        entry would book twice, and so would the caller if it were told "not run".
+        """
         for replica in served.replicas.values():
             replica.resets_after_run = True
         answer = await served.call("/book/x")
@@ -143,28 +149,31 @@
         assert "retry-after" not in answer.headers
         assert sum(len(replica.runs) for replica in served.replicas.values()) == 1
 
-    async def test_booking_that_was_turned_away_is_said_not_to_have_run(self, served):
+    async def test_rejected_booking_is_reported_as_not_run(self, served):
         for replica in served.replicas.values():
             replica.refuses = True
         answer = await served.call("/book/x")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_lookup_whose_answer_is_lost_is_repeated(self, served):
+    async def test_lookup_with_a_lost_response_is_retried(self, served):
         served.replicas["desk-1"].resets_after_run = True
         for _ in range(3):
             assert (await served.call("/look/x")).status == 200
 
-    async def test_server_failure_is_passed_on_with_its_seal(self, served):
+    async def test_server_error_is_forwarded_with_its_seal(self, served):
         for replica in served.replicas.values():
             replica.answers_with = 500
         answer = await served.call("/book/x")
         assert answer.status == 500
         assert answer.headers["replica-seal"].startswith("seal.")
 
-    async def test_second_answer_on_a_connection_reaches_nobody(self, served):
-        """A server sends two answers to one request. The second one lies on the kept connection
-        when the next caller's request is sent there, and would be taken for its answer."""
+    async def test_unexpected_second_response_is_discarded(self, served):
+        """Guards against sending one caller's response to another.
+
+        A server sends two responses to one request. The second one is still unread on the pooled
+        connection when it is reused and would be mistaken for the response to the next request.
+        """
         for replica in served.replicas.values():
             replica.extra_answer = True
         for number in range(6):
@@ -172,12 +181,15 @@
             assert json.loads(answer.body)["target"] == f"/look/{number}"
 
 
-class TestContinuing:
-    """Streams that break off."""
+class TestStreamFailover:
+    """Failover of interrupted streams."""
 
     async def test_broken_stream_is_continued_at_another_engine(self, served):
-        """An engine dies in the middle of an event. The caller must get the rest from another
-        engine: no event missing, none twice, no half event, and the first engine's header."""
+        """Guards against gaps, duplicates and partial events after a failover.
+
+        An engine fails in the middle of an event. The caller must get the remaining events from
+        another engine, after the first engine's header.
+        """
         served.replicas["engine-1"].breaks_after_events = 4
         served.replicas["engine-2"].breaks_after_events = 4
         calls = [await served.call("/note/x", prompt="1000,340") for _ in range(2)]
@@ -190,7 +202,7 @@
             assert answer.is_whole
             assert event_ids(answer.body) == list(range(10))
 
-    async def test_stream_that_cannot_be_continued_does_not_look_complete(self, served):
+    async def test_stream_that_cannot_be_continued_is_visibly_truncated(self, served):
         for replica in served.replicas.values():
             replica.breaks_after_events = 3
         answer = await served.call("/note/x", prompt="1000,340")
@@ -201,10 +213,13 @@
 class TestSlowCallers:
     """Callers that read slowly."""
 
-    async def test_caller_that_pauses_gets_a_whole_answer(self, served):
-        """A caller stops reading for two seconds and the way to it is full. The engine isn't
-        silent, the caller is. An attempt that is given up while a piece is being written leaves
-        half of it on the wire, and the bytes of the next attempt behind it are no answer."""
+    async def test_caller_that_pauses_gets_the_whole_response(self, served):
+        """Guards against mistaking a slow caller for a stalled engine.
+
+        The caller stops reading for 2 s and the connection's buffers are full. An attempt that is
+        cancelled while a chunk is being sent leaves a partial chunk on the connection, so that the
+        bytes of the next attempt corrupt the response.
+        """
         routes = [
             make_route("note", "streaming", "engines", gapGoalMs=250, timeoutMs=30_000),
         ]
@@ -223,12 +238,14 @@
         assert event_ids(received.body) == list(range(30))
 
 
-class TestLeaving:
-    """Callers that close their connection."""
+class TestDisconnects:
+    """Callers that disconnect."""
 
-    async def test_engine_stops_when_the_caller_leaves(self, served):
-        """A caller closes its connection within a stream. The engine would go on writing for
-        nobody, and keep a slot that others wait for."""
+    async def test_engine_stops_when_the_caller_disconnects(self, served):
+        """Guards against an engine that keeps generating after its caller has disconnected.
+
+        It would occupy a slot that other requests wait for.
+        """
         connection = await served.connect()
         with trio.move_on_after(0.3):
             await exchange_on(
@@ -241,9 +258,9 @@
 
 
 class TestLongPrompts:
-    """Prompts that one engine reads slowly or can't hold."""
+    """Prompts that one engine prefills too slowly or can't hold in memory."""
 
-    async def test_prompt_is_read_by_several_engines(self, served):
+    async def test_prompt_is_prefilled_by_several_engines(self, served):
         answer = await served.call(
             "/dossier/x", prompt="200000,340", headers={"Deadline-Ms": "9000"}
         )
@@ -252,9 +269,12 @@
         assert seen["helpers"].count(":") == 1
 
     async def test_memory_reserved_elsewhere_is_free_after_the_time_limit(self, served):
-        """A prompt needs the memory of two engines, which turn out to be slow, and isn't read in
-        time. What was reserved at the second engine would be lost to others until the lease ends,
-        if nobody released it."""
+        """Guards against leaking a memory reservation when a request times out.
+
+        A prompt needs the memory of two engines, which become slow and don't prefill it in time.
+        Without a release, the memory reserved at the second engine would be unavailable until the
+        reservation expires.
+        """
         for number in range(3, 9):
             await served.add_replica(f"engine-{number}")
         async with trio.open_nursery() as nursery:
@@ -265,7 +285,7 @@
                 calls.append(await served.call("/dossier/x", prompt="420000,340"))
 
             nursery.start_soon(call)
-            # Known before, their slowness would refuse the prompt at once.
+            # Engines that are known to be slow would cause an immediate refusal.
             await trio.sleep(0.1)
             for engine in engines:
                 engine.pace = 6.0
@@ -275,44 +295,52 @@
         await trio.sleep(0.2)
         assert all(engine.used_tokens == 0 for engine in engines)
 
-    async def test_prompt_whose_answer_would_begin_too_late_is_refused_at_once(self, served):
-        """Two engines would read a prompt for eight seconds, and its caller waits for four. It must
-        hear so now, and the engines must not read for nobody."""
-        answer = await answered_during_a_lookup(served, "380000,340")
+    async def test_prompt_with_a_late_first_token_is_refused_at_once(self, served):
+        """Guards against wasted prefill for a caller that won't wait for it.
+
+        Two engines would need 8 s to prefill the prompt, but the caller's deadline is 4 s. The
+        request must be refused at once and must not reach the engines.
+        """
+        answer = await response_during_a_lookup(served, "380000,340")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
         engines = [replica for replica in served.replicas.values() if replica.engine]
         assert not any(engine.seen for engine in engines)
 
-    async def test_prompt_over_the_memory_of_the_live_engines_may_come_back(self, served):
-        """Most engines are down. What two can't hold, more could: it is refused at once, and the
-        caller is told when to come back."""
-        answer = await answered_during_a_lookup(served, "990000,340")
+    async def test_prompt_over_the_memory_of_the_live_engines_may_be_retried(self, served):
+        """Guards against a permanent refusal while most engines are down.
+
+        Two engines can't hold the prompt, but more engines could, so the caller must be told when
+        to retry.
+        """
+        answer = await response_during_a_lookup(served, "990000,340")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_prompt_that_no_engines_can_share_is_refused_for_good(self, served):
-        """A prompt is larger than what an engine and all helpers it accepts can hold. Told to come
-        back, its caller would do so in vain."""
+    async def test_prompt_over_the_memory_of_all_helpers_is_refused_permanently(self, served):
+        """Guards against pointless retries of a prompt that can never fit.
+
+        It is larger than the memory of an engine and the maximum number of helpers.
+        """
         answer = await served.call("/dossier/x", prompt="7000000,340")
         assert answer.status == 413
         assert "retry-after" not in answer.headers
 
 
-class TestKeysInLogs:
-    """What must not show."""
+class TestEventLog:
+    """Secrets in the event log."""
 
-    async def test_no_event_holds_a_key(self, served):
+    async def test_no_event_contains_a_key(self, served):
         await served.call("/look/x")
         records = served.kernels[0].events.records()
         assert records
         assert all(KEY not in str(record) for record in records)
 
 
-class TestMetricsPage:
-    """Figures for a scraper."""
+class TestMetricsEndpoint:
+    """The metrics endpoint."""
 
-    async def test_page_tells_of_answers_refusals_and_beliefs(self, served):
+    async def test_page_has_durations_refusals_and_configuration_version(self, served):
         await served.call("/look/x")
         await served.call("/nowhere/x")
         settings = served.entry_settings(1)
--- a/packages/testing/tests/platform/test_quarantined_entries.py
+++ b/packages/testing/tests/platform/test_quarantined_entries.py
@@ -1,4 +1,4 @@
-"""What entries know of harmful requests: those that start, many of them, and how it ends."""
+"""Distribution, persistence and end of quarantine verdicts among entries."""
 
 from __future__ import annotations
 
@@ -12,21 +12,23 @@
 from sassafrastally.testing.harmful_fleet import HARMFUL, assert_refused, quarantine, start_fleet
 
 
-def records(fleet) -> list[str]:
+def verdict_keys(fleet) -> list[str]:
     """Return the keys of the verdicts in the store."""
     keys = fleet.store.keys()
     return [key for key in keys if key.startswith("quarantine/")]
 
 
 class TestEntriesThatStart:
-    """Entries that weren't there when servers crashed."""
+    """Entries that start after the servers have crashed."""
 
-    async def test_all_that_start_again_know_it_from_the_store(self, fleet):
-        """All entries are killed at one moment, and with them all that they have seen. The caller
-        comes back; each restart would cost three more servers."""
+    async def test_restarted_entries_read_verdicts_from_the_store(self, fleet):
+        """Guards against losing verdicts when all entries are killed at once.
+
+        The caller retries, so each such restart would crash three more servers.
+        """
         await start_fleet(fleet)
         await quarantine(fleet)
-        await until(lambda: records(fleet))
+        await until(lambda: verdict_keys(fleet))
         for number in (1, 2, 3):
             fleet.kill_entry(number)
         await trio.sleep(0.05)
@@ -34,9 +36,12 @@
             await fleet.add_entry(number)
             await assert_refused(fleet, number)
 
-    async def test_one_that_starts_without_the_store_hears_it_from_its_peers(self, fleet):
-        """The store is away from before the first crash, so that nothing stands there; a new entry
-        learns all from the others."""
+    async def test_entry_without_the_store_gets_verdicts_from_its_peers(self, fleet):
+        """Guards against a new entry without verdicts during a store outage.
+
+        The outage begins before the first crash, so the store has no record and the new entry must
+        get the verdict from its peers.
+        """
         await start_fleet(fleet, entries=2)
         fleet.store.refuses_with = 503
         await quarantine(fleet)
@@ -52,33 +57,39 @@
         await start_fleet(fleet, entries=2)
         fleet.store.refuses_with = 503
         await quarantine(fleet)
-        assert not records(fleet)
+        assert not verdict_keys(fleet)
         fleet.store.refuses_with = 0
-        await until(lambda: records(fleet), 8.0)
-        assert len(records(fleet)) == 1
+        await until(lambda: verdict_keys(fleet), 8.0)
+        assert len(verdict_keys(fleet)) == 1
+
+    async def test_verdict_survives_leases_that_expire_in_an_outage(self, fleet):
+        """Guards against losing a verdict when its lease expires in a store outage.
 
-    async def test_verdict_survives_leases_that_an_outage_ended(self, fleet):
-        """The store is away, and all leases run out with it. The verdict's time isn't over, and
-        entries that start after the outage must find it again."""
+        The verdict itself is still valid, so it must be recorded again for entries that start after
+        the outage.
+        """
         await start_fleet(fleet, entries=2)
         await quarantine(fleet)
-        await until(lambda: records(fleet))
+        await until(lambda: verdict_keys(fleet))
         fleet.store.refuses_with = 503
         await trio.sleep(2.5)
-        fleet.store.remove(records(fleet)[0])
+        fleet.store.remove(verdict_keys(fleet)[0])
         fleet.store.refuses_with = 0
-        await until(lambda: records(fleet), 15.0)
+        await until(lambda: verdict_keys(fleet), 15.0)
         await assert_refused(fleet, 2)
 
 
 class TestManyEntries:
-    """So many entries that data centres hear only sums of each other."""
+    """So many entries that data centres exchange only aggregated state."""
 
     ENTRIES = 28
 
-    async def test_other_data_centre_hears_of_crashes_and_verdict_by_the_sum(self, fleet):
-        """The caller comes to one data centre's entries, then to the other one's, whose entries
-        hear none of the first ones themselves. Three servers have crashed in all."""
+    async def test_other_data_centre_gets_crashes_and_verdict_by_aggregates(self, fleet):
+        """Guards against counting crashes per data centre only.
+
+        The request arrives at an entry of one data centre, then at one of the other, which gets no
+        individual state of the first. Three servers crash in total.
+        """
         fleet.data_centres = ["east", "west"]
         for number in range(1, 7):
             await fleet.add_replica(f"engine-{number}")
@@ -98,24 +109,26 @@
             await assert_refused(fleet, entry)
 
 
-class TestEndOfAVerdict:
-    """How it ends before its time."""
+class TestVerdictRemoval:
+    """Verdicts that end before they expire."""
 
     async def test_operator_ends_it_by_removing_its_record(self, fleet):
-        """The cause is mended, and nobody wants to wait for ten minutes."""
+        """Guards against waiting 10 minutes for a verdict to expire after its cause is fixed."""
         await start_fleet(fleet, entries=2)
         await quarantine(fleet)
-        await until(lambda: records(fleet))
+        await until(lambda: verdict_keys(fleet))
         fleet.harmful_bodies.clear()
-        fleet.store.remove(records(fleet)[0])
+        fleet.store.remove(verdict_keys(fleet)[0])
         await trio.sleep(0.3)
         for entry in (1, 2):
             answer = await fleet.call("/note/x", entry=entry, body=HARMFUL, prompt="1000,340")
             assert answer.status == 200
 
-    async def test_record_that_goes_as_soon_as_it_came_harms_nobody(self, fleet):
-        """A verdict and its end arrive together, so that nothing is left to record when the entry
-        turns to it. The entry must go on serving."""
+    async def test_record_that_is_removed_at_once_is_harmless(self, fleet):
+        """Guards against a crash of the entry when a verdict and its removal arrive together.
+
+        There is nothing left to record by the time that the entry processes the change.
+        """
         await start_fleet(fleet, entries=1)
         (kernel,) = fleet.kernels
         beliefs = kernel.get("beliefs", Beliefs)
@@ -125,7 +138,7 @@
         await trio.sleep(0.1)
         assert (await fleet.call("/look/x")).status == 200
 
-    async def test_record_of_another_writer_is_passed_over(self, fleet):
+    async def test_invalid_record_is_ignored(self, fleet):
         await start_fleet(fleet, entries=1)
         fleet.store.put("quarantine/0123", b"{}")
         fleet.store.put("quarantine/0123456789abcdef", b'{"crashes": "many"}')
--- a/packages/testing/tests/platform/test_settings.py
+++ b/packages/testing/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file and what is wrong with it."""
+"""Decoding of the settings file and the early listener."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sassafrastally.platform.settings import decode_settings
 from sassafrastally.proxy.early_listener import listen_early
 
-GOOD = {
+VALID = {
     "node": "edge-1",
     "ip": "10.1.0.40",
     "zone": "here",
@@ -31,28 +31,28 @@
 
 
 class TestSettings:
-    """Decoding and checking."""
+    """Decoding and validation of settings."""
 
-    def test_good_file(self):
-        settings = decode_settings(json.dumps(GOOD), "settings.json")
+    def test_valid_file(self):
+        settings = decode_settings(json.dumps(VALID), "settings.json")
         assert settings.callers_address.port == 8227
         assert settings.bounds.retry_window_s == 10.0
 
-    def test_all_findings_come_together_with_their_place(self):
-        bad = {**GOOD, "ip": None, "listen": {"front": "nowhere"}}
-        del bad["bounds"]
+    def test_all_findings_are_reported_with_their_places(self):
+        invalid = {**VALID, "ip": None, "listen": {"front": "nowhere"}}
+        del invalid["bounds"]
         with pytest.raises(FindingsError) as caught:
-            decode_settings(json.dumps(bad), "settings.json")
+            decode_settings(json.dumps(invalid), "settings.json")
         places = {finding.place.key for finding in caught.value.findings}
         assert {"ip", "listen.front", "listen.readiness", "bounds.graceS"} <= places
         assert all(finding.place.file == "settings.json" for finding in caught.value.findings)
 
     @pytest.mark.parametrize("text", ["", "[1]", "{", "null"])
-    def test_file_of_any_content_gives_findings(self, text):
+    def test_invalid_file_raises_findings(self, text):
         with pytest.raises(FindingsError):
             decode_settings(text, "settings.json")
 
-    def test_process_ends_with_the_documented_code(self, tmp_path, capsys):
+    def test_invalid_settings_exit_with_the_documented_code(self, tmp_path, capsys):
         file = tmp_path / "settings.json"
         assert run_process(str(file), None) == EXIT_SETTINGS
         file.write_text("{}")
@@ -61,11 +61,13 @@
 
 
 class TestEarlyListener:
-    """The callers' port before the program is loaded."""
+    """The callers' port, which opens before the program is loaded."""
 
-    def test_connection_waits_and_is_accepted_later(self):
-        """A process restarts. Callers connect while it still loads; turned away by the kernel they
-        would use up their one retry and fail."""
+    def test_early_connection_is_accepted_later(self):
+        """Guards against refused connections while a restarted process loads.
+
+        The operating system would refuse them, and callers would use up their only retry.
+        """
         listener = listen_early("127.0.0.1", 0)
         caller = socket.create_connection(listener.getsockname(), timeout=1)
         caller.sendall(b"GET")
@@ -74,7 +76,7 @@
         for sock in (caller, accepted, listener):
             sock.close()
 
-    def test_port_that_is_taken_gives_none(self):
+    def test_port_in_use_returns_none(self):
         taken = listen_early("127.0.0.1", 0)
         other = socket.socket()
         other.bind(("127.0.0.1", 0))
