--- a/packages/testing/tests/platform/conftest.py
+++ b/packages/testing/tests/platform/conftest.py
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture
-async def served(fleet):
+async def small_fleet(fleet):
     """One entry with two engines and two plain servers."""
     for number in (1, 2):
         await fleet.add_replica(f"engine-{number}")
--- a/packages/testing/tests/platform/test_calls.py
+++ b/packages/testing/tests/platform/test_calls.py
@@ -18,7 +18,7 @@
     """Serve a response that is sent in chunks; return a client of the server."""
 
     async def handle(_request, connection) -> None:
-        await connection.begin(200, {})
+        await connection.begin_response(200, {})
         for number in range(CHUNKS):
             if number == stall_after:
                 await trio.sleep_forever()
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -92,12 +92,14 @@
         await until(lambda: version_of(first) == 7)
         await until(lambda: version_of(second) == 7)
 
-    async def test_older_version_is_ignored(self, served):
-        served.configure(make_configuration(9))
-        await until(lambda: version_of(served.kernels[0]) == 9)
-        served.configure(make_configuration(3, routes=[make_route("old", "idempotent", "desk")]))
+    async def test_older_version_is_ignored(self, small_fleet):
+        small_fleet.configure(make_configuration(9))
+        await until(lambda: version_of(small_fleet.kernels[0]) == 9)
+        small_fleet.configure(
+            make_configuration(3, routes=[make_route("old", "idempotent", "desk")])
+        )
         await trio.sleep(0.2)
-        assert version_of(served.kernels[0]) == 9
+        assert version_of(small_fleet.kernels[0]) == 9
 
     async def test_entry_without_configuration_refuses_with_retry_after(self, fleet):
         fleet.store.refuses_with = 503
@@ -169,43 +171,43 @@
 class TestStore:
     """Store outages, lost history and outdated registrations."""
 
-    async def test_requests_are_served_during_an_outage(self, served):
-        served.store.is_silent = True
+    async def test_requests_are_served_during_an_outage(self, small_fleet):
+        small_fleet.store.is_silent = True
         await trio.sleep(1.2)
-        assert (await served.call("/look/x")).status == 200
+        assert (await small_fleet.call("/look/x")).status == 200
 
-    async def test_compacted_history_causes_a_new_read(self, served):
+    async def test_compacted_history_causes_a_new_read(self, small_fleet):
         """Guards against keeping a removed server forever.
 
         The store compacts its history while an entry's watch is interrupted. Resuming the watch
         from the old revision would miss the removal.
         """
-        served.store.refuses_with = 503
+        small_fleet.store.refuses_with = 503
         await trio.sleep(1.3)
-        served.store.remove("servers/desk-1")
-        served.store.forget_history()
-        served.store.refuses_with = 0
-        beliefs = served.kernels[0].get("beliefs", Beliefs)
+        small_fleet.store.remove("servers/desk-1")
+        small_fleet.store.forget_history()
+        small_fleet.store.refuses_with = 0
+        beliefs = small_fleet.kernels[0].get("beliefs", Beliefs)
         await until(lambda: beliefs.server("desk-1") is None, 5.0)
 
-    async def test_draining_server_gets_no_new_requests(self, served):
-        replica = served.replicas["desk-1"]
-        served.store.put("servers/desk-1", replica.entry(is_draining=True))
+    async def test_draining_server_gets_no_new_requests(self, small_fleet):
+        replica = small_fleet.replicas["desk-1"]
+        small_fleet.store.put("servers/desk-1", replica.entry(is_draining=True))
         await trio.sleep(0.1)
         for _ in range(4):
-            await served.call("/look/x")
+            await small_fleet.call("/look/x")
         assert not replica.seen
 
-    async def test_other_server_at_the_same_address_is_detected(self, served):
+    async def test_other_server_at_the_same_address_is_detected(self, small_fleet):
         """Guards against a request reaching a different server at a known address.
 
         A server restarts at its address under a new id before its registration is updated. The
         request names the expected server, so the new one rejects it and another server responds.
         """
-        served.replicas["desk-1"].server_id = "desk-1-reborn"
+        small_fleet.replicas["desk-1"].server_id = "desk-1-reborn"
         for _ in range(4):
-            assert (await served.call("/look/x")).status == 200
-        assert not served.replicas["desk-1"].runs
+            assert (await small_fleet.call("/look/x")).status == 200
+        assert not small_fleet.replicas["desk-1"].runs
 
 
 class TestIncarnations:
@@ -216,29 +218,29 @@
         replica.born_ms = (replica.born_ms or 1_790_000_000_000) + 60_000
         fleet.store.put(f"servers/{server_id}", replica.entry())
 
-    async def test_suspicion_does_not_apply_to_the_next_incarnation(self, served):
+    async def test_suspicion_does_not_apply_to_the_next_incarnation(self, small_fleet):
         """Guards against applying state of a crashed engine to its next incarnation.
 
         An engine crashes, is suspected for 8 s and restarts after 1 s under the same id. The
         suspicion would keep requests from the healthy engine, and the in-flight work of the
         crashed one would occupy slots that are free.
         """
-        kernel = served.kernels[0]
+        kernel = small_fleet.kernels[0]
         beliefs, sight = kernel.get("beliefs", Beliefs), kernel.get("sight", Sight)
-        self.restart(served, "engine-1")
+        self.restart(small_fleet, "engine-1")
         await until(lambda: beliefs.server("engine-1").born_ms is not None)
         previous = beliefs.server("engine-1")
         for _ in range(4):
             sight.note_failure(previous, "nobody answers", "r", is_clear=True)
         sight.ledger.add(Flight(previous.life_id, Lane.SHORT, {previous.life_id: 9_000}), 0.0)
-        self.restart(served, "engine-1")
+        self.restart(small_fleet, "engine-1")
         await until(lambda: beliefs.server("engine-1") != previous)
         views = {view.server.server_id: view for view in sight.views("engines", set())}
         assert not views["engine-1"].is_suspect
         assert views["engine-1"].work.tokens == 0
 
     async def test_booking_that_may_have_run_in_the_previous_incarnation_is_not_retried(
-        self, served
+        self, small_fleet
     ):
         """Guards against running a non-idempotent request twice.
 
@@ -246,29 +248,29 @@
         new incarnation doesn't know the request, so a retry would book twice.
         """
         for number in (1, 2):
-            served.replicas[f"desk-{number}"].resets_after_run = True
-            served.replicas[f"desk-{number}"].work_s = 0.3
+            small_fleet.replicas[f"desk-{number}"].resets_after_run = True
+            small_fleet.replicas[f"desk-{number}"].work_s = 0.3
         async with trio.open_nursery() as nursery:
             answers = []
 
             async def book() -> None:
-                answers.append(await served.call("/book/x", request_id="b1"))
+                answers.append(await small_fleet.call("/book/x", request_id="b1"))
 
             nursery.start_soon(book)
             await trio.sleep(0.1)
             for number in (1, 2):
-                self.restart(served, f"desk-{number}")
+                self.restart(small_fleet, f"desk-{number}")
         assert answers[0].status in (502, 504)
-        assert sum(served.replicas[f"desk-{n}"].runs.count("b1") for n in (1, 2)) == 1
+        assert sum(small_fleet.replicas[f"desk-{n}"].runs.count("b1") for n in (1, 2)) == 1
 
-    async def test_connection_to_the_previous_incarnation_is_not_reused(self, served):
-        kernel = served.kernels[0]
+    async def test_connection_to_the_previous_incarnation_is_not_reused(self, small_fleet):
+        kernel = small_fleet.kernels[0]
         beliefs = kernel.get("beliefs", Beliefs)
         connections = kernel.get("path", RequestPath).services.attempts.pool
         for _ in range(4):
-            await served.call("/look/x")
+            await small_fleet.call("/look/x")
         previous = beliefs.server("desk-1")
-        self.restart(served, "desk-1")
+        self.restart(small_fleet, "desk-1")
         await until(lambda: beliefs.server("desk-1") != previous)
         assert await connections.take(beliefs.server("desk-1")) is None
 
@@ -358,7 +360,7 @@
     """Servers that are removed permanently."""
 
     async def test_connections_and_suspicions_of_removed_servers_are_dropped(
-        self, served, monkeypatch
+        self, small_fleet, monkeypatch
     ):
         """Guards against a leak of connections and state when servers are replaced continually.
 
@@ -366,15 +368,15 @@
         descriptors and refuses callers.
         """
         monkeypatch.setattr(pool, "IDLE_TIME_S", 0.1)
-        kernel = served.kernels[0]
+        kernel = small_fleet.kernels[0]
         path = kernel.get("path", RequestPath)
         for number in (1, 2):
-            await served.call("/look/x")
+            await small_fleet.call("/look/x")
             desk = kernel.get("beliefs", Beliefs).server(f"desk-{number}")
             path.services.sight.note_failure(desk, "nobody answers", "r", is_clear=True)
         assert path.services.attempts.pool.idle_count() > 0
         for number in (1, 2):
-            served.store.remove(f"servers/desk-{number}")
+            small_fleet.store.remove(f"servers/desk-{number}")
         await until(lambda: path.services.attempts.pool.idle_count() == 0, 7.0)
         await until(lambda: not path.services.sight.suspicion.suspects(0.0), 1.0)
 
@@ -382,23 +384,25 @@
 class TestShutdown:
     """Graceful shutdown of an entry."""
 
-    async def test_in_flight_stream_completes_and_new_responses_close_the_connection(self, served):
+    async def test_in_flight_stream_completes_and_new_responses_close_the_connection(
+        self, small_fleet
+    ):
         """Guards against truncated streams and stranded callers in a rolling restart.
 
         An in-flight stream must complete, and new responses must tell callers to reconnect.
         """
-        kernel = served.kernels[0]
+        kernel = small_fleet.kernels[0]
         async with trio.open_nursery() as nursery:
             answers = []
 
             async def stream() -> None:
-                answers.append(await served.call("/note/x", prompt="1000,1700"))
+                answers.append(await small_fleet.call("/note/x", prompt="1000,1700"))
 
             nursery.start_soon(stream)
             await trio.sleep(0.2)
             kernel.request_stop()
             await trio.sleep(0.1)
-            late = await served.call("/look/x")
+            late = await small_fleet.call("/look/x")
         assert late.status == 200
         assert late.headers["connection"] == "close"
         assert answers[0].is_whole
@@ -417,9 +421,9 @@
         with socket.socket(type=socket.SOCK_DGRAM) as next_socket:
             next_socket.bind((settings.host, settings.peer_port))
 
-    async def test_idle_connection_is_closed_at_shutdown(self, served):
-        connection = await served.connect()
+    async def test_idle_connection_is_closed_at_shutdown(self, small_fleet):
+        connection = await small_fleet.connect()
         await exchange_on(connection, "POST", "/look/x", request_fields(), b"")
-        served.kernels[0].request_stop()
+        small_fleet.kernels[0].request_stop()
         with trio.fail_after(4.0):
             assert await connection.stream.receive_some() == b""
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -230,7 +230,7 @@
         assert not self.crashes(fleet)
 
     async def test_crashes_before_a_success_are_not_added_up(self, fleet):
-        """Guards against adding up crashes of a prompt that succeeds in between."""
+        """Guards against adding up out-of-memory kills of a prompt that succeeds in between."""
         await start_fleet(fleet, entries=1, engines=8)
 
         async def kill(replica) -> None:
--- a/packages/testing/tests/platform/test_malformed.py
+++ b/packages/testing/tests/platform/test_malformed.py
@@ -53,16 +53,16 @@
             ("\x00\x01\x02\r\n\r\n", 400),
         ],
     )
-    async def test_is_rejected_and_not_forwarded(self, served, data, status):
-        received = await send_raw(served, data.encode("latin-1"))
+    async def test_is_rejected_and_not_forwarded(self, small_fleet, data, status):
+        received = await send_raw(small_fleet, data.encode("latin-1"))
         assert status_of(received) == status
-        assert not any(replica.seen for replica in served.replicas.values())
+        assert not any(replica.seen for replica in small_fleet.replicas.values())
 
-    async def test_slow_header_times_out(self, served):
-        received = await send_raw(served, b"POST /look/x HTTP/1.1\r\nHost:")
+    async def test_slow_header_times_out(self, small_fleet):
+        received = await send_raw(small_fleet, b"POST /look/x HTTP/1.1\r\nHost:")
         assert status_of(received) == 408
 
-    async def test_smuggled_request_is_never_run(self, served):
+    async def test_smuggled_request_is_never_run(self, small_fleet):
         """Guards against request smuggling.
 
         The body is itself a valid request. If proxy and server disagreed on the body length, the
@@ -70,14 +70,16 @@
         """
         inner = f"POST /book/x HTTP/1.1\r\nHost: {HOST_NAME}\r\nAttempt-Id: evil\r\n\r\n"
         head = HEAD + f"Attempt-Id: good\r\nContent-Length: {len(inner)}\r\n\r\n"
-        received = await send_raw(served, (head + inner).encode())
+        received = await send_raw(small_fleet, (head + inner).encode())
         assert status_of(received) == 200
-        assert [run for replica in served.replicas.values() for run in replica.runs] == ["good"]
+        assert [run for replica in small_fleet.replicas.values() for run in replica.runs] == [
+            "good"
+        ]
 
-    async def test_entry_survives_malformed_input(self, served):
+    async def test_entry_survives_malformed_input(self, small_fleet):
         for data in (b"\xff" * 100, b"GET", b"\r\n\r\n", HEAD.encode() * 3):
-            await send_raw(served, data)
-        assert (await served.call("/look/x")).status == 200
+            await send_raw(small_fleet, data)
+        assert (await small_fleet.call("/look/x")).status == 200
 
 
 class TestHeaderFuzz:
@@ -181,8 +183,10 @@
 
     @pytest.mark.parametrize("server_id", ["", "a/b", "i-1\r\nTenant: x", "x" * 200])
     def test_registration_with_an_invalid_id_is_rejected(self, server_id):
-        """Guards against header injection: the id is sent in a header field, and a line break in it
-        would add fields."""
+        """Guards against header injection by a server id.
+
+        The id is sent in a header field, and a line break in it would add fields.
+        """
         with pytest.raises(DocumentInvalid):
             PlatformDialect().decode_server(
                 f"servers/{server_id}", json.dumps(VALID_REGISTRATION).encode()
@@ -240,8 +244,10 @@
     @example(b"{}")
     @example(b"[]")
     def test_report_of_any_bytes_is_a_typed_error_unless_an_object(self, data):
-        """Every field is optional, so an empty object is a valid report of an engine at its
-        configured speed. A value that isn't an object is invalid."""
+        """Guards against accepting a report that isn't a JSON object.
+
+        Every field is optional, so an empty object is valid: an engine at its configured speed.
+        """
         try:
             is_object = isinstance(json.loads(data), dict)
         except ValueError:
--- a/packages/testing/tests/platform/test_path.py
+++ b/packages/testing/tests/platform/test_path.py
@@ -36,37 +36,37 @@
 class TestForwarding:
     """Forwarding of requests and responses."""
 
-    async def test_path_body_and_response_are_unchanged(self, served):
-        received = await served.call("/look/a/b?c=d", method="POST", body=b"12345")
+    async def test_path_body_and_response_are_unchanged(self, small_fleet):
+        received = await small_fleet.call("/look/a/b?c=d", method="POST", body=b"12345")
         assert received.status == 200
         assert json.loads(received.body) == {"target": "/look/a/b?c=d", "length": 5}
         assert received.headers["replica-seal"].startswith("seal.desk-")
 
-    async def test_server_gets_the_customer_and_not_the_key(self, served):
-        await served.call("/look/x", headers={"Tenant": "somebody-else", "X-Own": "kept"})
-        (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
+    async def test_server_gets_the_customer_and_not_the_key(self, small_fleet):
+        await small_fleet.call("/look/x", headers={"Tenant": "somebody-else", "X-Own": "kept"})
+        (seen,) = [header for replica in small_fleet.replicas.values() for header in replica.seen]
         assert seen["tenant"] == "ana"
         assert "authorization" not in seen
         assert seen["x-own"] == "kept"
         assert seen["expect-replica"].startswith("desk-")
 
-    async def test_deadline_shrinks_and_stays_within_the_route(self, served):
-        await served.call("/look/x", headers={"Deadline-Ms": "900000"})
-        (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
+    async def test_deadline_shrinks_and_stays_within_the_route(self, small_fleet):
+        await small_fleet.call("/look/x", headers={"Deadline-Ms": "900000"})
+        (seen,) = [header for replica in small_fleet.replicas.values() for header in replica.seen]
         assert 4000 < int(seen["deadline-ms"]) <= 5000
 
-    async def test_hop_by_hop_fields_are_not_forwarded(self, served):
-        await served.call("/look/x", headers={"Connection": "x-secret", "X-Secret": "1"})
-        (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
+    async def test_hop_by_hop_fields_are_not_forwarded(self, small_fleet):
+        await small_fleet.call("/look/x", headers={"Connection": "x-secret", "X-Secret": "1"})
+        (seen,) = [header for replica in small_fleet.replicas.values() for header in replica.seen]
         assert "x-secret" not in seen
 
-    async def test_stream_is_whole_and_in_order(self, served):
-        received = await served.call("/note/x", prompt="1000,340")
+    async def test_stream_is_whole_and_in_order(self, small_fleet):
+        received = await small_fleet.call("/note/x", prompt="1000,340")
         assert received.is_whole
         assert event_ids(received.body) == list(range(10))
 
-    async def test_connection_serves_several_requests(self, served):
-        connection = await served.connect()
+    async def test_connection_serves_several_requests(self, small_fleet):
+        connection = await small_fleet.connect()
         for _ in range(3):
             received = await exchange_on(connection, "POST", "/look/x", request_fields(), b"")
             assert received.status == 200
@@ -77,11 +77,11 @@
 class TestRefusals:
     """Routing, authentication and refusals."""
 
-    async def test_unknown_route_and_unknown_key(self, served):
-        assert (await served.call("/nowhere/x")).status == 404
-        answer = await served.call("/look/x", headers={"Authorization": "Bearer wrong"})
+    async def test_unknown_route_and_unknown_key(self, small_fleet):
+        assert (await small_fleet.call("/nowhere/x")).status == 404
+        answer = await small_fleet.call("/look/x", headers={"Authorization": "Bearer wrong"})
         assert answer.status == 401
-        assert not any(replica.seen for replica in served.replicas.values())
+        assert not any(replica.seen for replica in small_fleet.replicas.values())
 
     async def test_refusal_without_servers_has_retry_after(self, fleet):
         await fleet.add_entry()
@@ -90,40 +90,40 @@
         assert float(answer.headers["retry-after"]) > 0
         assert json.loads(answer.body)["type"].endswith("no-server")
 
-    async def test_longest_prefix_wins(self, served):
+    async def test_longest_prefix_wins(self, small_fleet):
         routes = [
             make_route("look", "idempotent", "desk"),
             make_route("deep", "idempotent", "nothing", pathPrefix="/look/deep/"),
         ]
         services = [{"name": "desk", "maxConns": 9}, {"name": "nothing", "maxConns": 9}]
-        served.configure(make_configuration(2, routes=routes, services=services))
+        small_fleet.configure(make_configuration(2, routes=routes, services=services))
         await trio.sleep(0.1)
-        assert (await served.call("/look/x")).status == 200
-        assert (await served.call("/look/deep/x")).status == 503
+        assert (await small_fleet.call("/look/x")).status == 200
+        assert (await small_fleet.call("/look/deep/x")).status == 503
 
-    async def test_public_route_needs_no_key(self, served):
+    async def test_public_route_needs_no_key(self, small_fleet):
         routes = [make_route("look", "idempotent", "desk", public=True)]
-        served.configure(make_configuration(2, routes=routes))
+        small_fleet.configure(make_configuration(2, routes=routes))
         await trio.sleep(0.1)
-        assert (await served.call("/look/x", headers={"Authorization": "none"})).status == 200
+        assert (await small_fleet.call("/look/x", headers={"Authorization": "none"})).status == 200
 
 
 class TestTimeLimit:
     """Requests that exceed the time limit of their route."""
 
-    async def test_entry_responds_at_the_time_limit(self, served):
+    async def test_entry_responds_at_the_time_limit(self, small_fleet):
         """Guards against waiting for the caller's deadline when the route's limit is shorter.
 
         A server doesn't respond. The caller's deadline is 4 s, but the operator's limit for the
         route is 0.3 s.
         """
         routes = [make_route("book", "non_idempotent", "desk", timeoutMs=300, maxAttempts=1)]
-        served.configure(make_configuration(2, routes=routes))
-        for replica in served.replicas.values():
+        small_fleet.configure(make_configuration(2, routes=routes))
+        for replica in small_fleet.replicas.values():
             replica.is_mute = True
         await trio.sleep(0.1)
         begin_s = trio.current_time()
-        answer = await served.call("/book/x")
+        answer = await small_fleet.call("/book/x")
         assert answer.status == 504
         assert 0.25 < trio.current_time() - begin_s < 0.6
 
@@ -131,81 +131,81 @@
 class TestRetries:
     """Retries of failed attempts."""
 
-    async def test_refused_request_goes_to_another_server(self, served):
-        served.replicas["desk-1"].refuses = True
+    async def test_refused_request_goes_to_another_server(self, small_fleet):
+        small_fleet.replicas["desk-1"].refuses = True
         for _ in range(4):
-            assert (await served.call("/look/x")).status == 200
+            assert (await small_fleet.call("/look/x")).status == 200
 
-    async def test_booking_with_a_lost_response_runs_once(self, served):
+    async def test_booking_with_a_lost_response_runs_once(self, small_fleet):
         """Guards against running a non-idempotent request twice.
 
         The server runs the request, but the response is lost with the connection. A retry by the
         entry would book twice, and so would the caller if it were told "not run".
         """
-        for replica in served.replicas.values():
+        for replica in small_fleet.replicas.values():
             replica.resets_after_run = True
-        answer = await served.call("/book/x")
+        answer = await small_fleet.call("/book/x")
         assert answer.status == 502
         assert "retry-after" not in answer.headers
-        assert sum(len(replica.runs) for replica in served.replicas.values()) == 1
+        assert sum(len(replica.runs) for replica in small_fleet.replicas.values()) == 1
 
-    async def test_rejected_booking_is_reported_as_not_run(self, served):
-        for replica in served.replicas.values():
+    async def test_rejected_booking_is_reported_as_not_run(self, small_fleet):
+        for replica in small_fleet.replicas.values():
             replica.refuses = True
-        answer = await served.call("/book/x")
+        answer = await small_fleet.call("/book/x")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_lookup_with_a_lost_response_is_retried(self, served):
-        served.replicas["desk-1"].resets_after_run = True
+    async def test_lookup_with_a_lost_response_is_retried(self, small_fleet):
+        small_fleet.replicas["desk-1"].resets_after_run = True
         for _ in range(3):
-            assert (await served.call("/look/x")).status == 200
+            assert (await small_fleet.call("/look/x")).status == 200
 
-    async def test_server_error_is_forwarded_with_its_seal(self, served):
-        for replica in served.replicas.values():
+    async def test_server_error_is_forwarded_with_its_seal(self, small_fleet):
+        for replica in small_fleet.replicas.values():
             replica.answers_with = 500
-        answer = await served.call("/book/x")
+        answer = await small_fleet.call("/book/x")
         assert answer.status == 500
         assert answer.headers["replica-seal"].startswith("seal.")
 
-    async def test_unexpected_second_response_is_discarded(self, served):
+    async def test_unexpected_second_response_is_discarded(self, small_fleet):
         """Guards against sending one caller's response to another.
 
         A server sends two responses to one request. The second one is still unread on the pooled
         connection when it is reused and would be mistaken for the response to the next request.
         """
-        for replica in served.replicas.values():
+        for replica in small_fleet.replicas.values():
             replica.extra_answer = True
         for number in range(6):
-            answer = await served.call(f"/look/{number}")
+            answer = await small_fleet.call(f"/look/{number}")
             assert json.loads(answer.body)["target"] == f"/look/{number}"
 
 
 class TestStreamFailover:
     """Failover of interrupted streams."""
 
-    async def test_broken_stream_is_continued_at_another_engine(self, served):
+    async def test_broken_stream_is_continued_at_another_engine(self, small_fleet):
         """Guards against gaps, duplicates and partial events after a failover.
 
         An engine fails in the middle of an event. The caller must get the remaining events from
         another engine, after the first engine's header.
         """
-        served.replicas["engine-1"].breaks_after_events = 4
-        served.replicas["engine-2"].breaks_after_events = 4
-        calls = [await served.call("/note/x", prompt="1000,340") for _ in range(2)]
-        for replica in served.replicas.values():
+        small_fleet.replicas["engine-1"].breaks_after_events = 4
+        small_fleet.replicas["engine-2"].breaks_after_events = 4
+        calls = [await small_fleet.call("/note/x", prompt="1000,340") for _ in range(2)]
+        for replica in small_fleet.replicas.values():
             replica.breaks_after_events = -1
         assert all(not call.is_whole for call in calls)
-        served.replicas["engine-1"].breaks_after_events = 4
+        small_fleet.replicas["engine-1"].breaks_after_events = 4
         for _ in range(4):
-            answer = await served.call("/note/x", prompt="1000,340")
+            answer = await small_fleet.call("/note/x", prompt="1000,340")
             assert answer.is_whole
             assert event_ids(answer.body) == list(range(10))
 
-    async def test_stream_that_cannot_be_continued_is_visibly_truncated(self, served):
-        for replica in served.replicas.values():
+    async def test_stream_that_cannot_be_continued_is_visibly_truncated(self, small_fleet):
+        for replica in small_fleet.replicas.values():
             replica.breaks_after_events = 3
-        answer = await served.call("/note/x", prompt="1000,340")
+        answer = await small_fleet.call("/note/x", prompt="1000,340")
         assert not answer.is_whole
         assert event_ids(answer.body) == [0, 1, 2]
 
@@ -213,7 +213,7 @@
 class TestSlowCallers:
     """Callers that read slowly."""
 
-    async def test_caller_that_pauses_gets_the_whole_response(self, served):
+    async def test_caller_that_pauses_gets_the_whole_response(self, small_fleet):
         """Guards against mistaking a slow caller for a stalled engine.
 
         The caller stops reading for 2 s and the connection's buffers are full. An attempt that is
@@ -223,11 +223,11 @@
         routes = [
             make_route("note", "streaming", "engines", gapGoalMs=250, timeoutMs=30_000),
         ]
-        served.configure(make_configuration(2, routes=routes))
+        small_fleet.configure(make_configuration(2, routes=routes))
         await trio.sleep(0.1)
-        for replica in served.replicas.values():
+        for replica in small_fleet.replicas.values():
             replica.event_bytes = 500_000
-        connection = await served.connect()
+        connection = await small_fleet.connect()
         headers = request_fields(prompt="1000,1020", headers={"Deadline-Ms": "30000"})
         request = h11.Request(method="POST", target="/note/x", headers=list(headers.items()))
         await connection.send(request, h11.EndOfMessage())
@@ -241,34 +241,34 @@
 class TestDisconnects:
     """Callers that disconnect."""
 
-    async def test_engine_stops_when_the_caller_disconnects(self, served):
+    async def test_engine_stops_when_the_caller_disconnects(self, small_fleet):
         """Guards against an engine that keeps generating after its caller has disconnected.
 
         It would occupy a slot that other requests wait for.
         """
-        connection = await served.connect()
+        connection = await small_fleet.connect()
         with trio.move_on_after(0.3):
             await exchange_on(
                 connection, "POST", "/note/x", request_fields(prompt="1000,34000"), b""
             )
         await connection.close()
         await trio.sleep(0.3)
-        engines = [replica.engine for replica in served.replicas.values() if replica.engine]
+        engines = [replica.engine for replica in small_fleet.replicas.values() if replica.engine]
         assert sum(engine.running for engine in engines) == 0
 
 
 class TestLongPrompts:
     """Prompts that one engine prefills too slowly or can't hold in memory."""
 
-    async def test_prompt_is_prefilled_by_several_engines(self, served):
-        answer = await served.call(
+    async def test_prompt_is_prefilled_by_several_engines(self, small_fleet):
+        answer = await small_fleet.call(
             "/dossier/x", prompt="200000,340", headers={"Deadline-Ms": "9000"}
         )
         assert answer.is_whole
-        (seen,) = [header for replica in served.replicas.values() for header in replica.seen]
+        (seen,) = [header for replica in small_fleet.replicas.values() for header in replica.seen]
         assert seen["helpers"].count(":") == 1
 
-    async def test_memory_reserved_elsewhere_is_free_after_the_time_limit(self, served):
+    async def test_memory_reserved_elsewhere_is_free_after_the_time_limit(self, small_fleet):
         """Guards against leaking a memory reservation when a request times out.
 
         A prompt needs the memory of two engines, which become slow and don't prefill it in time.
@@ -276,13 +276,15 @@
         reservation expires.
         """
         for number in range(3, 9):
-            await served.add_replica(f"engine-{number}")
+            await small_fleet.add_replica(f"engine-{number}")
         async with trio.open_nursery() as nursery:
-            engines = [replica.engine for replica in served.replicas.values() if replica.engine]
+            engines = [
+                replica.engine for replica in small_fleet.replicas.values() if replica.engine
+            ]
             calls = []
 
             async def call() -> None:
-                calls.append(await served.call("/dossier/x", prompt="420000,340"))
+                calls.append(await small_fleet.call("/dossier/x", prompt="420000,340"))
 
             nursery.start_soon(call)
             # Engines that are known to be slow would cause an immediate refusal.
@@ -295,34 +297,34 @@
         await trio.sleep(0.2)
         assert all(engine.used_tokens == 0 for engine in engines)
 
-    async def test_prompt_with_a_late_first_token_is_refused_at_once(self, served):
+    async def test_prompt_with_a_late_first_token_is_refused_at_once(self, small_fleet):
         """Guards against wasted prefill for a caller that won't wait for it.
 
         Two engines would need 8 s to prefill the prompt, but the caller's deadline is 4 s. The
         request must be refused at once and must not reach the engines.
         """
-        answer = await response_during_a_lookup(served, "380000,340")
+        answer = await response_during_a_lookup(small_fleet, "380000,340")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
-        engines = [replica for replica in served.replicas.values() if replica.engine]
+        engines = [replica for replica in small_fleet.replicas.values() if replica.engine]
         assert not any(engine.seen for engine in engines)
 
-    async def test_prompt_over_the_memory_of_the_live_engines_may_be_retried(self, served):
+    async def test_prompt_over_the_memory_of_the_live_engines_may_be_retried(self, small_fleet):
         """Guards against a permanent refusal while most engines are down.
 
         Two engines can't hold the prompt, but more engines could, so the caller must be told when
         to retry.
         """
-        answer = await response_during_a_lookup(served, "990000,340")
+        answer = await response_during_a_lookup(small_fleet, "990000,340")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
 
-    async def test_prompt_over_the_memory_of_all_helpers_is_refused_permanently(self, served):
+    async def test_prompt_over_the_memory_of_all_helpers_is_refused_permanently(self, small_fleet):
         """Guards against pointless retries of a prompt that can never fit.
 
         It is larger than the memory of an engine and the maximum number of helpers.
         """
-        answer = await served.call("/dossier/x", prompt="7000000,340")
+        answer = await small_fleet.call("/dossier/x", prompt="7000000,340")
         assert answer.status == 413
         assert "retry-after" not in answer.headers
 
@@ -330,9 +332,9 @@
 class TestEventLog:
     """Secrets in the event log."""
 
-    async def test_no_event_contains_a_key(self, served):
-        await served.call("/look/x")
-        records = served.kernels[0].events.records()
+    async def test_no_event_contains_a_key(self, small_fleet):
+        await small_fleet.call("/look/x")
+        records = small_fleet.kernels[0].events.records()
         assert records
         assert all(KEY not in str(record) for record in records)
 
@@ -340,10 +342,10 @@
 class TestMetricsEndpoint:
     """The metrics endpoint."""
 
-    async def test_page_has_durations_refusals_and_configuration_version(self, served):
-        await served.call("/look/x")
-        await served.call("/nowhere/x")
-        settings = served.entry_settings(1)
+    async def test_page_has_durations_refusals_and_configuration_version(self, small_fleet):
+        await small_fleet.call("/look/x")
+        await small_fleet.call("/nowhere/x")
+        settings = small_fleet.entry_settings(1)
         client = CallClient(Address(settings.host, settings.metrics_port))
         status, body = await client.exchange("GET", "/metrics", [], b"", 1.0)
         page = body.decode()
