--- a/packages/serving/src/sassafrastally/serving/claim_batches.py
+++ b/packages/serving/src/sassafrastally/serving/claim_batches.py
@@ -12,10 +12,10 @@
 from sassafrastally.serving.claim_shard import (
     BadClaimValue,
     Claim,
-    ClaimAsk,
     ClaimOperation,
     ClaimResult,
     ClaimState,
+    ShardRequest,
 )
 from sassafrastally.serving.claim_store import ShardFull
 from sassafrastally.stores.backoff import full_jitter
@@ -27,13 +27,13 @@
     from sassafrastally.serving.claim_layout import ClaimSettings
     from sassafrastally.serving.claim_store import ShardStore
 
-MAX_BATCH = 64
+MAX_BATCH_CLAIMS = 64
 """Claims in one write at most; half of what a head holds."""
 
-MAX_WAITING = 1_024
+MAX_QUEUED_CLAIMS = 1_024
 """Claims that wait for one shard at most; further ones are refused."""
 
-FORGET_AFTER_S = 60.0
+IDLE_EXPIRY_S = 60.0
 """An idle shard is forgotten, so that an entry that isn't its home doesn't hold its segments."""
 
 CONFLICT_BASE_S = 0.005
@@ -47,7 +47,7 @@
 )
 
 
-FAILURE_REPORT_S = 10.0
+MIN_FAILURE_EVENT_INTERVAL_S = 10.0
 """Least time between two failure events of one shard: an outage must not fill the ring."""
 
 
@@ -63,10 +63,10 @@
 class PendingClaim:
     """A question that waits for its shard."""
 
-    def __init__(self, ask: ClaimAsk) -> None:
-        self.ask = ask
+    def __init__(self, request: ShardRequest) -> None:
+        self.request = request
         self.done = trio.Event()
-        self.is_given_up = False
+        self.is_abandoned = False
         """Whether nobody waits any more; it is not written then."""
         self.result = ClaimResult(ClaimState.UNAVAILABLE)
 
@@ -76,7 +76,7 @@
         self.done.set()
 
 
-def answer_from(ask: ClaimAsk, found: Claim | None) -> ClaimResult | None:
+def resolve_request(request: ShardRequest, existing: Claim | None) -> ClaimResult | None:
     """Return the answer that a known claim gives; ``None`` when a claim has to be written.
 
     Notes
@@ -84,18 +84,18 @@
     A placement is random and used once, so it is the asker's own token: found in the shard, it
     shows that an earlier write, whose answer was lost, did take effect.
     """
-    if found is None:
-        is_lookup = ask.operation is ClaimOperation.LOOKUP
+    if existing is None:
+        is_lookup = request.operation is ClaimOperation.LOOKUP
         return ClaimResult(ClaimState.ABSENT) if is_lookup else None
-    if found.body_digest != ask.claim.body_digest:
-        return ClaimResult(ClaimState.KEY_REUSED, found.placement)
-    if ask.operation is ClaimOperation.LOOKUP:
-        return ClaimResult(ClaimState.HELD, found.placement)
-    if found.placement == ask.claim.placement:
-        return ClaimResult(ClaimState.GRANTED, found.placement)
-    if ask.operation is ClaimOperation.REPLACE and found.placement == ask.old:
+    if existing.body_digest != request.claim.body_digest:
+        return ClaimResult(ClaimState.KEY_REUSED, existing.placement)
+    if request.operation is ClaimOperation.LOOKUP:
+        return ClaimResult(ClaimState.HELD, existing.placement)
+    if existing.placement == request.claim.placement:
+        return ClaimResult(ClaimState.GRANTED, existing.placement)
+    if request.operation is ClaimOperation.REPLACE and existing.placement == request.old:
         return None
-    return ClaimResult(ClaimState.HELD, found.placement)
+    return ClaimResult(ClaimState.HELD, existing.placement)
 
 
 class ShardWorker:
@@ -127,14 +127,14 @@
         self._failed_claims = 0
 
     @property
-    def is_crowded(self) -> bool:
+    def is_queue_full(self) -> bool:
         """Whether no further claim may wait."""
-        return len(self._waiting) >= MAX_WAITING
+        return len(self._waiting) >= MAX_QUEUED_CLAIMS
 
-    async def ask(self, ask: ClaimAsk, time_limit_s: float) -> ClaimResult:
+    async def submit(self, request: ShardRequest, time_limit_s: float) -> ClaimResult:
         """Return the answer to a question, or that there was none in time."""
-        pending = PendingClaim(ask)
-        if self.is_crowded:
+        pending = PendingClaim(request)
+        if self.is_queue_full:
             return pending.result
         self._waiting.append(pending)
         self._arrived.set()
@@ -142,28 +142,28 @@
             try:
                 await pending.done.wait()
             finally:
-                pending.is_given_up = True
+                pending.is_abandoned = True
         return pending.result
 
     async def run(self) -> None:
         """Settle batches for as long as the process runs."""
         while True:
-            with trio.move_on_after(FORGET_AFTER_S) as idle:
+            with trio.move_on_after(IDLE_EXPIRY_S) as idle:
                 await self._arrived.wait()
             if idle.cancelled_caught:
                 self._store.forget()
                 continue
             # The interval bounds the writes of a shard; a shard that was quiet waits for nothing.
             await trio.sleep_until(self._next_write_s)
-            await self._settle(self._take())
+            await self._settle(self._next_batch())
             if not self._waiting:
                 self._arrived = trio.Event()
 
-    def _take(self) -> list[PendingClaim]:
+    def _next_batch(self) -> list[PendingClaim]:
         batch: list[PendingClaim] = []
-        while self._waiting and len(batch) < MAX_BATCH:
+        while self._waiting and len(batch) < MAX_BATCH_CLAIMS:
             pending = self._waiting.popleft()
-            if not pending.is_given_up:
+            if not pending.is_abandoned:
                 batch.append(pending)
         return batch
 
@@ -195,11 +195,11 @@
         if trio.current_time() >= self._next_report_s:
             self._events.emit(ClaimBatchFailed(self._failed_claims, reason))
             self._failed_claims = 0
-            self._next_report_s = trio.current_time() + FAILURE_REPORT_S
+            self._next_report_s = trio.current_time() + MIN_FAILURE_EVENT_INTERVAL_S
 
     async def _settle_all(self, batch: list[PendingClaim]) -> None:
         conflicts = 0
-        if any(pending.ask.operation is not ClaimOperation.CLAIM for pending in batch):
+        if any(pending.request.operation is not ClaimOperation.CLAIM for pending in batch):
             # A cached holder may itself have been replaced. A claim may be told of it, since the
             # asker queries that placement next; a replacement needs the present holder, or two
             # entries with old views could send it round in circles. A lookup's "absent" is taken
@@ -235,14 +235,14 @@
 
     def _answer(self, batch: list[PendingClaim]) -> list[Claim]:
         """Settle what known claims answer; return the claims to be written, one for each key."""
-        wanted: dict[bytes, Claim] = {}
+        new_claims: dict[bytes, Claim] = {}
         for pending in batch:
             if pending.done.is_set():
                 continue
-            claim = pending.ask.claim
-            result = answer_from(pending.ask, self._store.find(claim.key_hash))
+            claim = pending.request.claim
+            result = resolve_request(pending.request, self._store.find(claim.key_hash))
             if result is not None:
                 pending.settle(result)
             else:
-                wanted.setdefault(claim.key_hash, claim)
-        return list(wanted.values())
+                new_claims.setdefault(claim.key_hash, claim)
+        return list(new_claims.values())
--- a/packages/serving/src/sassafrastally/serving/claim_shard.py
+++ b/packages/serving/src/sassafrastally/serving/claim_shard.py
@@ -27,7 +27,7 @@
 """Bytes of a block's filter, one for each value of two bytes of a hash. A new key has to be looked
 for in all segments of its shard; the filter answers for 13 in 14 of them without a search."""
 
-FILTER_FROM_CLAIMS = 512
+MIN_FILTERED_CLAIMS = 512
 """Smaller blocks have no filter."""
 
 _RECORD = struct.Struct("<16s16s16sHH")
@@ -88,7 +88,7 @@
     placement: Placement
 
 
-class ClaimAsk(NamedTuple):
+class ShardRequest(NamedTuple):
     """One question to a shard."""
 
     operation: ClaimOperation
@@ -99,7 +99,7 @@
 
 
 class ClaimResult(NamedTuple):
-    """Answer to a `ClaimAsk`."""
+    """Answer to a `ShardRequest`."""
 
     state: ClaimState
     placement: Placement | None = None
@@ -184,7 +184,7 @@
         return len(self.data) + len(self._filter)
 
     def _make_filter(self) -> bytearray:
-        if self._count < FILTER_FROM_CLAIMS:
+        if self._count < MIN_FILTERED_CLAIMS:
             return bytearray()
         slots = bytearray(FILTER_SLOTS)
         for index in range(self._count):
--- a/packages/serving/src/sassafrastally/serving/claim_store.py
+++ b/packages/serving/src/sassafrastally/serving/claim_store.py
@@ -32,7 +32,7 @@
 SEGMENT_CLAIMS = 4_800
 """Claims from which a segment is closed: 290 kB, far below the KV service's bound."""
 
-LAPSE_MARGIN_S = 1.0
+EXPIRY_MARGIN_S = 1.0
 """Added to the hint when a segment lapses: its lease is granted after its closing was noted."""
 
 LOAD_ATTEMPTS = 4
@@ -78,7 +78,7 @@
             self._size_bytes -= block.size_bytes
 
 
-class _View(NamedTuple):
+class _Snapshot(NamedTuple):
     revision: int
     """Revision of the head; 0 when there is none yet."""
     head: Head
@@ -116,20 +116,20 @@
         self._layout = layout
         self._cache = cache
         self._clock = clock
-        self._view: _View | None = None
+        self._snapshot: _Snapshot | None = None
 
     @property
     def is_loaded(self) -> bool:
         """Whether the shard was read."""
-        return self._view is not None
+        return self._snapshot is not None
 
     def forget(self) -> None:
         """Drop what is known, so that the shard is read before it is used again."""
-        self._view = None
+        self._snapshot = None
 
     async def load(self) -> None:
         """Read the shard as it is now; raises `KvUnavailable`, `BadClaimValue`."""
-        self._view = None
+        self._snapshot = None
         for _ in range(LOAD_ATTEMPTS):
             entry = await self._kv.get(self._head_key, purpose=PURPOSE)
             head = Head() if entry is None else decode_head(entry.value)
@@ -144,18 +144,18 @@
                 if (block := await self._segment(segment.number)) is not None:
                     closed[segment.number] = block
             revision = 0 if entry is None else entry.mod_revision
-            self._view = _View(revision, head, _by_key(head.recent), tail, closed)
+            self._snapshot = _Snapshot(revision, head, _by_key(head.recent), tail, closed)
             return
         raise MaybeApplied(f"{self._head_key}: changed in each of {LOAD_ATTEMPTS} reads")
 
     def find(self, key_hash: bytes) -> Claim | None:
         """Return the newest known claim of a key."""
-        if self._view is None:
+        if self._snapshot is None:
             return None
-        if (recent := self._view.recent.get(key_hash)) is not None:
+        if (recent := self._snapshot.recent.get(key_hash)) is not None:
             return recent
-        tail = () if self._view.tail is None else (self._view.tail,)
-        found = (block.find(key_hash) for block in (*tail, *self._view.closed.values()))
+        tail = () if self._snapshot.tail is None else (self._snapshot.tail,)
+        found = (block.find(key_hash) for block in (*tail, *self._snapshot.closed.values()))
         return next((claim for claim in found if claim is not None), None)
 
     async def append(self, claims: Sequence[Claim]) -> None:
@@ -175,7 +175,7 @@
         KvUnavailable, LeaseLost, ShardFull
             When nothing was written.
         """
-        view = self._view
+        view = self._snapshot
         assert view is not None
         if len(view.recent) + len(claims) > HEAD_CLAIMS:
             await self._append_and_seal(view, claims)
@@ -183,9 +183,9 @@
         recent = {**view.recent, **_by_key(claims)}
         head = view.head._replace(recent=tuple(recent.values()))
         revision = await self._write([], head, view.revision)
-        self._view = view._replace(revision=revision, head=head, recent=recent)
+        self._snapshot = view._replace(revision=revision, head=head, recent=recent)
 
-    async def _append_and_seal(self, view: _View, claims: Sequence[Claim]) -> None:
+    async def _append_and_seal(self, view: _Snapshot, claims: Sequence[Claim]) -> None:
         """Move a full head into a new segment and begin the head with some claims."""
         number = view.head.next_number
         block = ClaimBlock(encode_block([*(view.tail or ()), *view.recent.values()]))
@@ -194,7 +194,7 @@
         )
         lease_id = 0
         if len(block) >= SEGMENT_CLAIMS:
-            head = await self._closing(head, len(block))
+            head = await self._close_tail(head, len(block))
             # The KV service itself deletes a closed segment, by its own clock: an entry whose
             # clock is wrong or that was frozen can't forget a claim early.
             lease_id = await self._kv.grant_lease(self._layout.retention_s, purpose=PURPOSE)
@@ -211,13 +211,13 @@
             if item.number in known
         }
         tail = block if head.tail else None
-        self._view = _View(revision, head, _by_key(claims), tail, closed)
+        self._snapshot = _Snapshot(revision, head, _by_key(claims), tail, closed)
 
-    async def _closing(self, head: Head, claims: int) -> Head:
+    async def _close_tail(self, head: Head, claims: int) -> Head:
         """Return the head with its tail closed and its lapsed segments left out."""
-        kept = await self._without_lapsed(head.closed)
+        kept = await self._without_expired(head.closed)
         if len(kept) >= self._layout.max_closed_segments:
-            oldest_end_s = kept[0].closed_wall_s + self._layout.retention_s + LAPSE_MARGIN_S
+            oldest_end_s = kept[0].closed_wall_s + self._layout.retention_s + EXPIRY_MARGIN_S
             full = ShardFull(f"{self._prefix} holds {len(kept)} closed segments")
             full.retry_after_s = min(
                 max(oldest_end_s - self._clock.wall_s(), 1.0), self._layout.retention_s
@@ -226,7 +226,9 @@
         segment = ClosedSegment(head.tail, math.ceil(self._clock.wall_s()), claims)
         return head._replace(tail=0, tail_claims=0, closed=(*kept, segment))
 
-    async def _without_lapsed(self, closed: tuple[ClosedSegment, ...]) -> tuple[ClosedSegment, ...]:
+    async def _without_expired(
+        self, closed: tuple[ClosedSegment, ...]
+    ) -> tuple[ClosedSegment, ...]:
         # Segments lapse oldest first, each by its own lease, so the search stops at the first
         # one that is still there. It must be read, not taken from the cache.
         for index, segment in enumerate(closed):
--- a/packages/serving/src/sassafrastally/serving/claim_wire.py
+++ b/packages/serving/src/sassafrastally/serving/claim_wire.py
@@ -8,11 +8,11 @@
 from sassafrastally.serving.claim_shard import (
     HASH_BYTES,
     Claim,
-    ClaimAsk,
     ClaimOperation,
     ClaimResult,
     ClaimState,
     Placement,
+    ShardRequest,
 )
 from sassafrastally.wire.messages import ClaimReply, ClaimRequest
 
@@ -22,20 +22,20 @@
 NO_PLACEMENT = Placement("", Incarnation(""), RequestId(""), 0)
 
 
-def request_of(ask: ClaimAsk, time_limit_s: float) -> ClaimRequest:
+def encode_request(shard_request: ShardRequest, time_limit_s: float) -> ClaimRequest:
     """Return the message that asks a shard's home."""
-    claim = ask.claim
+    claim = shard_request.claim
     return ClaimRequest(
-        ask.operation,
+        shard_request.operation,
         claim.key_hash,
         claim.body_digest,
         *claim.placement,
-        *(ask.old or NO_PLACEMENT),
+        *(shard_request.old or NO_PLACEMENT),
         time_limit_s,
     )
 
 
-def ask_of(request: ClaimRequest) -> ClaimAsk | None:
+def decode_request(request: ClaimRequest) -> ShardRequest | None:
     """Return the question of a message; ``None`` when its values are out of bounds."""
     lengths = (len(request.key_hash), len(request.body_digest))
     if request.operation not in set(ClaimOperation) or lengths != (HASH_BYTES, HASH_BYTES):
@@ -47,15 +47,15 @@
     if request.operation == ClaimOperation.REPLACE and old is None:
         return None
     claim = Claim(request.key_hash, request.body_digest, placement or NO_PLACEMENT)
-    return ClaimAsk(ClaimOperation(request.operation), claim, old)
+    return ShardRequest(ClaimOperation(request.operation), claim, old)
 
 
-def reply_of(result: ClaimResult) -> ClaimReply:
+def encode_reply(result: ClaimResult) -> ClaimReply:
     """Return the message that answers an entry."""
     return ClaimReply(result.state, *(result.placement or NO_PLACEMENT), result.retry_after_s)
 
 
-def result_of(reply: ClaimReply) -> ClaimResult | None:
+def decode_reply(reply: ClaimReply) -> ClaimResult | None:
     """Return the answer of a message; ``None`` when its values are out of bounds."""
     placement = _placement(reply[1:5])
     if reply.state not in set(ClaimState):
--- a/packages/serving/src/sassafrastally/serving/claims.py
+++ b/packages/serving/src/sassafrastally/serving/claims.py
@@ -23,22 +23,22 @@
     HASH_BYTES,
     BadClaimValue,
     Claim,
-    ClaimAsk,
     ClaimOperation,
     ClaimResult,
     ClaimState,
     Placement,
+    ShardRequest,
 )
 from sassafrastally.serving.claim_store import SegmentCache, ShardStore
 from sassafrastally.serving.claim_wire import (
     NO_PLACEMENT,
-    ask_of,
+    decode_reply,
+    decode_request,
+    encode_reply,
+    encode_request,
     is_placement,
-    reply_of,
-    request_of,
-    result_of,
 )
-from sassafrastally.serving.home_calls import HomeCalls
+from sassafrastally.serving.home_calls import HomeClient
 from sassafrastally.serving.refusals import Figures, Refusal
 from sassafrastally.serving.rendezvous import home_of
 from sassafrastally.stores.service import PlatformService
@@ -83,7 +83,7 @@
         self._layout: ClaimLayout | None = None
         self._reading_layout = trio.Lock()
         self._nursery: trio.Nursery
-        self._homes: HomeCalls
+        self._homes: HomeClient
 
     @property
     def layout(self) -> ClaimLayout | None:
@@ -93,7 +93,7 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Take claims of other entries."""
         self._nursery = nursery
-        self._homes = HomeCalls(self._peers)
+        self._homes = HomeClient(self._peers)
         self._peers.on_stream(ClaimRequest, self._on_request)
 
     async def claim(
@@ -184,10 +184,10 @@
         started_s = trio.current_time()
         result = ClaimResult(ClaimState.UNAVAILABLE)
         with trio.move_on_after(max(time_limit_s, 0.0)):
-            layout = await self._layout_known()
+            layout = await self._load_layout()
             digest = blake2b(body_digest, digest_size=HASH_BYTES).digest()
             claim = Claim(layout.key_hash(customer, key), digest, placement)
-            result = await self._ask(layout, ClaimAsk(operation, claim, old), time_limit_s)
+            result = await self._submit(layout, ShardRequest(operation, claim, old), time_limit_s)
         CLAIM_TIME.record(trio.current_time() - started_s)
         SETTLED.add(1, {"state": result.state})
         if result.state in (ClaimState.UNAVAILABLE, ClaimState.FULL):
@@ -204,7 +204,7 @@
         figures = Figures(retry_after_s=min(retry_after_s, MAX_RETRY_AFTER_S), detail=detail)
         return Refusal("claims-unavailable", figures)
 
-    async def _layout_known(self) -> ClaimLayout:
+    async def _load_layout(self) -> ClaimLayout:
         async with self._reading_layout:
             if self._layout is None:
                 kv = self._platform.kv
@@ -219,39 +219,41 @@
                     ) from cause
             return self._layout
 
-    async def _ask(self, layout: ClaimLayout, ask: ClaimAsk, time_limit_s: float) -> ClaimResult:
-        shard = layout.shard_of(ask.claim.key_hash)
+    async def _submit(
+        self, layout: ClaimLayout, request: ShardRequest, time_limit_s: float
+    ) -> ClaimResult:
+        shard = layout.shard_of(request.claim.key_hash)
         home = home_of(f"claims/{shard}", self._membership)
         if home is not None and home.vm != self.kernel.vm:
             # The home gets half of the time, so that enough is left to write without it.
             limit_s = min(self._settings.forward_time_limit_s, time_limit_s / 2)
-            result = await self._ask_home(home, ask, limit_s)
+            result = await self._call_home(home, request, limit_s)
             if result is not None and result.state is not ClaimState.UNAVAILABLE:
                 return result
         # The home may have written the claim although its answer was lost. A write here meets a
         # conflict then, reads the shard again and finds this entry's own placement in it.
-        return await self._worker(layout, shard).ask(ask, time_limit_s)
+        return await self._worker(layout, shard).submit(request, time_limit_s)
 
-    async def _ask_home(
-        self, home: VmState, ask: ClaimAsk, time_limit_s: float
+    async def _call_home(
+        self, home: VmState, request: ShardRequest, time_limit_s: float
     ) -> ClaimResult | None:
-        reply = await self._homes.call(home, request_of(ask, time_limit_s), time_limit_s)
-        return result_of(reply) if isinstance(reply, ClaimReply) else None
+        reply = await self._homes.call(home, encode_request(request, time_limit_s), time_limit_s)
+        return decode_reply(reply) if isinstance(reply, ClaimReply) else None
 
     async def _on_request(self, stream: Stream, message: Message) -> None:
         if not isinstance(message, ClaimRequest):
             return
         result = ClaimResult(ClaimState.UNAVAILABLE)
-        ask = ask_of(message)
-        if ask is not None:
+        request = decode_request(message)
+        if request is not None:
             try:
                 with trio.move_on_after(message.time_limit_s):
-                    layout = await self._layout_known()
-                    worker = self._worker(layout, layout.shard_of(ask.claim.key_hash))
-                    result = await worker.ask(ask, message.time_limit_s)
+                    layout = await self._load_layout()
+                    worker = self._worker(layout, layout.shard_of(request.claim.key_hash))
+                    result = await worker.submit(request, message.time_limit_s)
             except Refusal as refusal:
                 result = result._replace(retry_after_s=refusal.figures.retry_after_s)
-        await stream.send(reply_of(result))
+        await stream.send(encode_reply(result))
 
     def _worker(self, layout: ClaimLayout, shard: int) -> ShardWorker:
         if shard not in self._workers:
--- a/packages/serving/src/sassafrastally/serving/cost.py
+++ b/packages/serving/src/sassafrastally/serving/cost.py
@@ -11,35 +11,35 @@
 from collections import deque
 from typing import NamedTuple
 
-HALF_LIFE_SAMPLES = 8.0
+BAND_HALF_LIFE_SAMPLES = 8.0
 """Among samples of like size, one this many samples old counts half."""
 
-FLEETING_SAMPLES = 256.0
+GLOBAL_HALF_LIFE_SAMPLES = 256.0
 """Half-life over samples of all sizes, for sizes that are no longer seen."""
 
-KEPT_SAMPLES = 24
+MAX_BAND_SAMPLES = 24
 """Samples kept of like size; older ones weigh under an eighth."""
 
 BAND_FACTOR = 4.0
 """Sizes within this factor are alike. Each band ages by its own samples: if short prompts, which
 are many, aged the long ones, the model would forget what a long one costs before the next came."""
 
-CLAMP = 2.5
+CLAMP_RATIO = 2.5
 """A sample counts as at most this many times the expected cost, and at least its inverse."""
 
 MIN_SAMPLES_TO_CLAMP = 3
 """Below this the prior is still the larger part of the expectation and clamps nothing."""
 
-CHANGE_RUN = 4
+SPEED_CHANGE_SAMPLES = 4
 """So many samples in a row past the clamp on the same side mean that the engine has changed:
 older samples are scaled to the new speed, so a large change is followed after this many samples."""
 
-DOUBTFUL_RUN = 12
+SLOW_RUN_SAMPLES = 12
 """Samples of a busy engine over the expectation are left out, because other streams can only make
 a prefill look slower; after so many in a row without one at the expectation the engine itself is
 slower, and the best of them are taken in."""
 
-DOUBTFUL_TAKEN = 4
+SLOW_RUN_ACCEPTED_SAMPLES = 4
 """How many of them are taken in."""
 
 PRIOR_PREFILL_FIXED_S = 0.03
@@ -68,13 +68,13 @@
     """Place among the samples of all sizes."""
 
 
-class _Weighted(NamedTuple):
+class _WeightedSample(NamedTuple):
     size: float
     cost_s: float
     weight: float
 
 
-class _Line(NamedTuple):
+class _Polynomial(NamedTuple):
     """Seconds as ``fixed_s + linear_s * size + square_s * size ** 2``."""
 
     fixed_s: float
@@ -85,89 +85,91 @@
         return self.fixed_s + self.linear_s * size + self.square_s * size * size
 
 
-_PREFILL_PRIOR = _Line(PRIOR_PREFILL_FIXED_S, PRIOR_PREFILL_TOKEN_S, PRIOR_PREFILL_SQUARE_S)
-_DECODE_PRIOR = _Line(PRIOR_TOKEN_S, PRIOR_TOKEN_STREAM_S, 0.0)
+_PREFILL_PRIOR = _Polynomial(PRIOR_PREFILL_FIXED_S, PRIOR_PREFILL_TOKEN_S, PRIOR_PREFILL_SQUARE_S)
+_DECODE_PRIOR = _Polynomial(PRIOR_TOKEN_S, PRIOR_TOKEN_STREAM_S, 0.0)
 
 
 class _Fit:
     """A polynomial fitted to aged, clamped samples, each counted by its relative error."""
 
-    def __init__(self, prior: _Line, prior_sizes: tuple[int, ...]) -> None:
+    def __init__(self, prior: _Polynomial, prior_sizes: tuple[int, ...]) -> None:
         self._prior = prior
         self._prior_sizes = prior_sizes
         self._bands: dict[int, deque[_Sample]] = {}
-        self._beyond: list[_Sample] = []
-        self._beyond_side = 0
+        self._outliers: list[_Sample] = []
+        self._outlier_side = 0
         self._count = 0
-        self._line: _Line | None = prior
+        self._polynomial: _Polynomial | None = prior
 
     def add(self, size: float, cost_s: float) -> None:
         ratio = cost_s / self.at(size)
         self._count += 1
         sample = _Sample(size, cost_s, self._count)
         side = self._side(ratio)
-        if side != self._beyond_side:
-            self._settle_beyond()
+        if side != self._outlier_side:
+            self._keep_clamped_outliers()
         if side:
             # Held back while it isn't clear whether it is an outlier or the engine has changed.
-            self._beyond_side = side
-            self._beyond.append(sample)
-            if len(self._beyond) == CHANGE_RUN:
-                self._follow_change()
+            self._outlier_side = side
+            self._outliers.append(sample)
+            if len(self._outliers) == SPEED_CHANGE_SAMPLES:
+                self._rescale()
         else:
             self._keep(sample)
 
     def at(self, size: float) -> float:
-        if self._line is None:
-            self._line = self._solve()
-        return self._line.at(size)
+        if self._polynomial is None:
+            self._polynomial = self._solve()
+        return self._polynomial.at(size)
 
     def _band(self, size: float) -> deque[_Sample]:
         key = int(math.log(max(1.0, size), BAND_FACTOR))
-        return self._bands.setdefault(key, deque(maxlen=KEPT_SAMPLES))
+        return self._bands.setdefault(key, deque(maxlen=MAX_BAND_SAMPLES))
 
     def _side(self, ratio: float) -> int:
         if self._count <= MIN_SAMPLES_TO_CLAMP:
             return 0
-        return 1 if ratio > CLAMP else -1 if ratio < 1 / CLAMP else 0
+        return 1 if ratio > CLAMP_RATIO else -1 if ratio < 1 / CLAMP_RATIO else 0
 
     def _keep(self, sample: _Sample) -> None:
         self._band(sample.size).append(sample)
-        self._line = None
+        self._polynomial = None
 
-    def _settle_beyond(self) -> None:
+    def _keep_clamped_outliers(self) -> None:
         """Take in a run of outliers that came to nothing, as far as the clamp allows."""
-        factor = CLAMP**self._beyond_side
-        clamped = [one._replace(cost_s=self.at(one.size) * factor) for one in self._beyond]
-        self._beyond.clear()
-        self._beyond_side = 0
+        factor = CLAMP_RATIO**self._outlier_side
+        clamped = [
+            sample._replace(cost_s=self.at(sample.size) * factor) for sample in self._outliers
+        ]
+        self._outliers.clear()
+        self._outlier_side = 0
         for sample in clamped:
             self._keep(sample)
 
-    def _follow_change(self) -> None:
+    def _rescale(self) -> None:
         """Scale all older samples to the new speed; their shape over lengths stays."""
-        ratios = [sample.cost_s / self.at(sample.size) for sample in self._beyond]
+        ratios = [sample.cost_s / self.at(sample.size) for sample in self._outliers]
         factor = sorted(ratios)[len(ratios) // 2]
         for band in self._bands.values():
             scaled = [sample._replace(cost_s=sample.cost_s * factor) for sample in band]
             band.clear()
             band.extend(scaled)
-        for sample in self._beyond:
+        for sample in self._outliers:
             self._keep(sample)
-        self._beyond.clear()
-        self._beyond_side = 0
+        self._outliers.clear()
+        self._outlier_side = 0
 
-    def _weighted(self) -> list[_Weighted]:
-        found = []
+    def _weighted(self) -> list[_WeightedSample]:
+        weighted = []
         for band in self._bands.values():
             last = len(band) - 1
-            for place, sample in enumerate(band):
-                age = (last - place) / HALF_LIFE_SAMPLES
-                age += (self._count - sample.number) / FLEETING_SAMPLES
-                found.append(_Weighted(sample.size, sample.cost_s, 0.5**age))
-        return found
+            for index, sample in enumerate(band):
+                age = (last - index) / BAND_HALF_LIFE_SAMPLES
+                age += (self._count - sample.number) / GLOBAL_HALF_LIFE_SAMPLES
+                weighted.append(_WeightedSample(sample.size, sample.cost_s, 0.5**age))
+        return weighted
 
-    def _solve(self) -> _Line:
+    def _solve(self) -> _Polynomial:
         samples = self._weighted()
         if not samples:
             return self._prior
@@ -176,14 +178,14 @@
         # The prior's points are scaled to the speed seen, so that a length never seen is expected
         # as much faster or slower than the prior as the lengths that were.
         samples += [
-            _Weighted(size, self._prior.at(size) * scale, PRIOR_WEIGHT)
+            _WeightedSample(size, self._prior.at(size) * scale, PRIOR_WEIGHT)
             for size in self._prior_sizes
         ]
         degree = 3 if self._prior.square_s else 2
         return _least_squares(samples, degree)
 
 
-def _least_squares(samples: list[_Weighted], degree: int) -> _Line:
+def _least_squares(samples: list[_WeightedSample], degree: int) -> _Polynomial:
     """Return the polynomial of least squared relative error with no negative coefficient.
 
     Notes
@@ -193,14 +195,14 @@
     """
     active = list(range(degree))
     while True:
-        found = _solve_normal(samples, active)
-        worst = min(active, key=lambda power: found[power])
-        if found[worst] >= 0 or len(active) == 1:
-            return _Line(*(max(0.0, found.get(power, 0.0)) for power in range(3)))
+        solution = _solve_normal(samples, active)
+        worst = min(active, key=lambda power: solution[power])
+        if solution[worst] >= 0 or len(active) == 1:
+            return _Polynomial(*(max(0.0, solution.get(power, 0.0)) for power in range(3)))
         active.remove(worst)
 
 
-def _solve_normal(samples: list[_Weighted], active: list[int]) -> dict[int, float]:
+def _solve_normal(samples: list[_WeightedSample], active: list[int]) -> dict[int, float]:
     scale = max(sample.size for sample in samples) or 1.0
     size = len(active)
     rows = [[0.0] * (size + 1) for _ in range(size)]
@@ -220,16 +222,16 @@
     """Solve a small symmetric positive system by Gaussian elimination with pivots."""
     size = len(rows)
     for column in range(size):
-        pivot = max(range(column, size), key=lambda place: abs(rows[place][column]))
+        pivot = max(range(column, size), key=lambda index: abs(rows[index][column]))
         rows[column], rows[pivot] = rows[pivot], rows[column]
         head = rows[column][column] or 1e-12
         rows[column] = [value / head for value in rows[column]]
-        for place in range(size):
-            factor = rows[place][column]
-            if place != column and factor:
-                rows[place] = [
+        for index in range(size):
+            factor = rows[index][column]
+            if index != column and factor:
+                rows[index] = [
                     value - factor * base
-                    for value, base in zip(rows[place], rows[column], strict=True)
+                    for value, base in zip(rows[index], rows[column], strict=True)
                 ]
     return [row[size] for row in rows]
 
@@ -240,7 +242,7 @@
     def __init__(self) -> None:
         self._prefill = _Fit(_PREFILL_PRIOR, PRIOR_LENGTHS)
         self._decode = _Fit(_DECODE_PRIOR, PRIOR_BATCHES)
-        self._doubtful: list[_Sample] = []
+        self._slow_samples: list[_Sample] = []
 
     def observe_first_token(self, uncached_tokens: int, elapsed_s: float, running: int) -> None:
         """Take in one prefill: from start on the engine to the first token."""
@@ -248,15 +250,17 @@
             return
         sample = _Sample(uncached_tokens, elapsed_s)
         if running <= 1 or elapsed_s <= self.prefill_s(uncached_tokens):
-            self._doubtful.clear()
+            self._slow_samples.clear()
             self._prefill.add(sample.size, sample.cost_s)
             return
-        self._doubtful.append(sample)
-        if len(self._doubtful) == DOUBTFUL_RUN:
-            self._doubtful.sort(key=lambda one: one.cost_s / self._prefill.at(one.size))
-            for one in self._doubtful[:DOUBTFUL_TAKEN]:
-                self._prefill.add(one.size, one.cost_s)
-            self._doubtful.clear()
+        self._slow_samples.append(sample)
+        if len(self._slow_samples) == SLOW_RUN_SAMPLES:
+            self._slow_samples.sort(
+                key=lambda sample: sample.cost_s / self._prefill.at(sample.size)
+            )
+            for sample in self._slow_samples[:SLOW_RUN_ACCEPTED_SAMPLES]:
+                self._prefill.add(sample.size, sample.cost_s)
+            self._slow_samples.clear()
 
     def observe_decode(self, tokens: int, elapsed_s: float, running: int) -> None:
         """Take in a stretch of decoding after the first token."""
--- a/packages/serving/src/sassafrastally/serving/forecast.py
+++ b/packages/serving/src/sassafrastally/serving/forecast.py
@@ -12,7 +12,7 @@
 
     from sassafrastally.serving.scheduling import CostModel, Work
 
-MIN_LEFT_SHARE = 0.05
+MIN_REMAINING_SHARE = 0.05
 """A prefill that has taken as long as expected and isn't done has at least this share left."""
 
 
@@ -42,27 +42,27 @@
 
     def __init__(self, rank: Callable[[Work], float]) -> None:
         self._rank = rank
-        self._left_s: dict[tuple[str, int], float] = {}
+        self._remaining_s: dict[tuple[str, int], float] = {}
         self._seen_s = 0.0
 
     def update(self, state: EngineState, cost: CostModel) -> dict[tuple[str, int], float]:
         """Share out the time since the last call and return the seconds left of each prefill."""
         active = [run for run in state.running if run.first_token_s is None]
-        left: dict[tuple[str, int], float] = {}
+        remaining: dict[tuple[str, int], float] = {}
         for run in active:
             key = run.work.request_id, run.work.attempt
-            left[key] = self._left_s.get(key, service_s(run.work, cost))
+            remaining[key] = self._remaining_s.get(key, service_s(run.work, cost))
         clock_s = self._seen_s
         for run in sorted(active, key=lambda one: (self._rank(one.work), one.started_s)):
             key = run.work.request_id, run.work.attempt
             begin_s = max(clock_s, run.started_s)
-            spent_s = min(max(0.0, state.now_s - begin_s), left[key])
-            least_s = MIN_LEFT_SHARE * service_s(run.work, cost)
-            left[key] = max(left[key] - spent_s, least_s)
+            spent_s = min(max(0.0, state.now_s - begin_s), remaining[key])
+            least_s = MIN_REMAINING_SHARE * service_s(run.work, cost)
+            remaining[key] = max(remaining[key] - spent_s, least_s)
             clock_s = begin_s + spent_s
         self._seen_s = state.now_s
-        self._left_s = left
-        return left
+        self._remaining_s = remaining
+        return remaining
 
 
 class _Prefill(NamedTuple):
@@ -71,7 +71,7 @@
     work: Work
 
 
-class Playback:
+class QueueSimulation:
     """A queue and its engine, played forward with the scheduler's own decisions.
 
     Prefills go one after the other in the engine's order, and a new one of lower rank interrupts
@@ -81,7 +81,7 @@
     ----------
     state
         The engine now.
-    left_s
+    remaining_s
         Seconds left of each prefill on the engine.
     cost
         The engine's costs.
@@ -92,14 +92,14 @@
     def __init__(
         self,
         state: EngineState,
-        left_s: dict[tuple[str, int], float],
+        remaining_s: dict[tuple[str, int], float],
         cost: CostModel,
         rank: Callable[[Work], float],
     ) -> None:
         self._state = state
         self._cost = cost
         self._rank = rank
-        self._left_s = dict(left_s)
+        self._remaining_s = dict(remaining_s)
         self._now_s = state.now_s
         self._free = state.free_blocks
         self._running = list(state.running)
@@ -107,10 +107,10 @@
         self._decodes: list[tuple[float, int, Work]] = []
         self._sequence = 0
         for run in self._running:
-            self._place(run)
-        self._piece_s = cost.prefill_s(CHUNK_TOKENS) / 2 if self._prefills else 0.0
+            self._add_run(run)
+        self._chunk_wait_s = cost.prefill_s(CHUNK_TOKENS) / 2 if self._prefills else 0.0
 
-    def first_token(
+    def predict(
         self,
         target: Work,
         waiting: Sequence[Work],
@@ -127,21 +127,21 @@
             if done is target:
                 first_s = self._now_s - self._state.now_s
                 if target is self._first:
-                    first_s += self._piece_s
+                    first_s += self._chunk_wait_s
                 pace_s = self._cost.token_s(len(self._running))
                 return Prediction(first_s, first_s + target.output_tokens * pace_s)
             if done is None:
                 # Nothing runs and nothing may start: the target doesn't fit this engine at all.
                 return Prediction(float("inf"), float("inf"))
 
-    def _place(self, run: Running) -> None:
+    def _add_run(self, run: Running) -> None:
         self._sequence += 1
         work = run.work
         if run.first_token_s is None:
             heapq.heappush(self._prefills, _Prefill(self._rank(work), self._sequence, work))
         else:
-            left = max(0, work.output_tokens - run.shown_tokens)
-            end_s = self._now_s + left * self._cost.token_s(len(self._running))
+            remaining = max(0, work.output_tokens - run.shown_tokens)
+            end_s = self._now_s + remaining * self._cost.token_s(len(self._running))
             heapq.heappush(self._decodes, (end_s, self._sequence, work))
 
     def _start(
@@ -156,10 +156,10 @@
                 return
             queue.remove(work)
             self._free -= blocks_needed(work, self._state.block_tokens)
-            self._left_s[work.request_id, work.attempt] = service_s(work, self._cost)
+            self._remaining_s[work.request_id, work.attempt] = service_s(work, self._cost)
             run = Running(work, self._now_s, None, 0)
             self._running.append(run)
-            self._place(run)
+            self._add_run(run)
 
     def _step(self) -> Work | None:
         """Go to the next first token or end and return the work that it belongs to."""
@@ -170,15 +170,15 @@
             return self._end_decode()
         head = self._prefills[0].work
         key = head.request_id, head.attempt
-        first_s = self._now_s + self._left_s[key]
+        first_s = self._now_s + self._remaining_s[key]
         if end_s < first_s:
-            self._left_s[key] -= max(0.0, end_s - self._now_s)
+            self._remaining_s[key] -= max(0.0, end_s - self._now_s)
             return self._end_decode()
         heapq.heappop(self._prefills)
         self._now_s = first_s
-        place = next(i for i, run in enumerate(self._running) if run.work is head)
-        self._running[place] = self._running[place]._replace(first_token_s=first_s)
-        self._place(self._running[place])
+        index = next(i for i, run in enumerate(self._running) if run.work is head)
+        self._running[index] = self._running[index]._replace(first_token_s=first_s)
+        self._add_run(self._running[index])
         return head
 
     def _end_decode(self) -> Work:
--- a/packages/serving/src/sassafrastally/serving/lanes.py
+++ b/packages/serving/src/sassafrastally/serving/lanes.py
@@ -12,7 +12,12 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sassafrastally.serving.cost import OnlineCostModel
-from sassafrastally.serving.forecast import Playback, PrefillProgress, blocks_needed, service_s
+from sassafrastally.serving.forecast import (
+    PrefillProgress,
+    QueueSimulation,
+    blocks_needed,
+    service_s,
+)
 from sassafrastally.serving.scheduling import SCHEDULERS, Prediction
 
 if TYPE_CHECKING:
@@ -31,16 +36,16 @@
 earlier, as the engine computes one prefill at a time; the rest waits here, where it can still be
 reordered and is proved not to have run."""
 
-STRETCHES = (0.1, 0.3, 1.0)
+ALLOWED_DELAY_SHARES = (0.1, 0.3, 1.0)
 """Patience of the lanes below the long one, as a share of the prefill time."""
 
-EVEN_STRETCH = 0.5
+EVEN_LONG_DELAY_SHARE = 0.5
 """Patience of the long lane when both weights are equal, as a share of its prefill time."""
 
-STRETCH_POWER = 1.5
+WEIGHT_RATIO_EXPONENT = 1.5
 """How strongly the ratio of the weights moves the patience of the long lane."""
 
-MAX_STRETCH = 8.0
+MAX_DELAY_SHARE = 8.0
 
 PRIORITY_STEP = 0.5
 PRIORITY_STEP_S = 0.5
@@ -49,7 +54,7 @@
 RESERVED_SHARE = 0.6
 """Share of prefill time that is split into the lanes' guarantees; the rest goes by due time."""
 
-URGENT_LEAD_S = 86_400.0
+GUARANTEE_LEAD_S = 86_400.0
 """How far work inside its lane's guarantee goes before all other work."""
 
 SHARE_HALF_LIFE_S = 20.0
@@ -58,14 +63,14 @@
 SLACK_MARGIN = 0.1
 """Share of the expected run that is kept in hand before the time limit."""
 
-RANKS_KEPT = 256
+MAX_RANKS = 256
 """Ranks of picked work beyond which those that no longer run are dropped."""
 
 PRIORITY_STEPS_PER_S = 100
 """Resolution of the engine priority; due times are cut to it, so that queue, engine and prediction
 see the same order."""
 
-PARTS = ("aging", "slack", "shares", "long-bound", "backfill", "engine-priority")
+FEATURES = ("aging", "slack", "shares", "long-bound", "backfill", "engine-priority")
 """Parts of `LanesScheduler` that can be left out by name."""
 
 
@@ -91,7 +96,7 @@
     lane: int
     due_s: float
     blocks: int
-    alone_s: float
+    idle_prefill_s: float
 
 
 class _Plan(NamedTuple):
@@ -105,7 +110,7 @@
     work: Work
 
 
-class _Served:
+class _ServedPrefill:
     """Prefill seconds that each lane got of late, halved with each half-life."""
 
     def __init__(self) -> None:
@@ -126,17 +131,17 @@
         total = sum(self.seconds) + seconds
         return self.seconds[lane] + seconds <= share * total
 
-    def copy(self) -> _Served:
-        other = _Served()
+    def copy(self) -> _ServedPrefill:
+        other = _ServedPrefill()
         other.seconds = list(self.seconds)
         other._at_s = self._at_s
         return other
 
 
-class _Books(NamedTuple):
+class _PickState(NamedTuple):
     """What picking changes; a prediction works on a copy."""
 
-    served: _Served
+    served: _ServedPrefill
     ranks: dict[tuple[str, int], float]
     needs: dict[tuple[str, int], _Need]
     """Needs that were worked out; a prediction asks for the same ones at each of its steps."""
@@ -150,23 +155,23 @@
     weights
         What the deployment weighs; they set the lanes' patience and shares.
     without
-        Names out of `PARTS` that are left out, to measure what each earns.
+        Names out of `FEATURES` that are left out, to measure what each earns.
     """
 
     def __init__(self, weights: Weights, without: Sequence[str] = ()) -> None:
         self.cost: CostModel = OnlineCostModel()
         self._weights = weights
         self._without = frozenset(without)
-        self._stretch = _stretches(weights)
+        self._delay_share = _delay_shares(weights)
         self._guarantee = _guarantees(weights)
-        self._served = _Served()
+        self._served = _ServedPrefill()
         self._ranks: dict[tuple[str, int], float] = {}
         self._progress = PrefillProgress(self._rank)
 
     def pick(self, waiting: Sequence[Work], state: EngineState) -> Work | None:
         """Return the work to hand to the engine now, ``None`` to wait."""
-        self._forget(state)
-        return self._pick(waiting, state, _Books(self._served, self._ranks, {}))
+        self._drop_stale_ranks(state)
+        return self._pick(waiting, state, _PickState(self._served, self._ranks, {}))
 
     def engine_priority(self, work: Work, now_s: float) -> int:
         """Return the rank in steps, so that the engine orders prefills as the queue does."""
@@ -174,19 +179,21 @@
 
     def predict(self, work: Work, waiting: Sequence[Work], state: EngineState) -> Prediction:
         """Return when new work would be served behind what waits and runs."""
-        left_s = self._progress.update(state, self.cost)
-        books = _Books(self._served.copy(), dict(self._ranks), {})
-        playback = Playback(state, left_s, self.cost, lambda one: self._rank_in(books, one))
-        return playback.first_token(work, waiting, lambda q, s: self._pick(q, s, books))
+        remaining_s = self._progress.update(state, self.cost)
+        pick_state = _PickState(self._served.copy(), dict(self._ranks), {})
+        simulation = QueueSimulation(
+            state, remaining_s, self.cost, lambda item: self._rank_in(pick_state, item)
+        )
+        return simulation.predict(work, waiting, lambda q, s: self._pick(q, s, pick_state))
 
     def due_s(self, work: Work) -> float:
         """Return by when the first token of some work is due."""
-        alone_s = service_s(work, self.cost)
+        idle_prefill_s = service_s(work, self.cost)
         lane = lane_of(work.prompt_tokens, self._weights)
-        run_s = alone_s + work.output_tokens * self.cost.token_s(1)
+        run_s = idle_prefill_s + work.output_tokens * self.cost.token_s(1)
         latest_s = work.deadline_s - run_s * (1 + SLACK_MARGIN)
-        due_s = work.arrived_s + alone_s * self._stretch[lane]
-        due_s += work.priority * (PRIORITY_STEP * alone_s + PRIORITY_STEP_S)
+        due_s = work.arrived_s + idle_prefill_s * self._delay_share[lane]
+        due_s += work.priority * (PRIORITY_STEP * idle_prefill_s + PRIORITY_STEP_S)
         if "aging" in self._without:
             due_s = latest_s
         elif "slack" not in self._without:
@@ -194,44 +201,46 @@
         return math.floor(due_s * PRIORITY_STEPS_PER_S) / PRIORITY_STEPS_PER_S
 
     def _rank(self, work: Work) -> float:
-        return self._rank_in(_Books(self._served, self._ranks, {}), work)
+        return self._rank_in(_PickState(self._served, self._ranks, {}), work)
 
-    def _rank_in(self, books: _Books, work: Work) -> float:
+    def _rank_in(self, pick_state: _PickState, work: Work) -> float:
         """Return the place that the work got when it was picked; its due time before that."""
         if "engine-priority" in self._without:
             return 0.0
-        rank = books.ranks.get((work.request_id, work.attempt))
+        rank = pick_state.ranks.get((work.request_id, work.attempt))
         return self.due_s(work) if rank is None else rank
 
-    def _forget(self, state: EngineState) -> None:
-        if len(self._ranks) > RANKS_KEPT:
+    def _drop_stale_ranks(self, state: EngineState) -> None:
+        if len(self._ranks) > MAX_RANKS:
             present = {(run.work.request_id, run.work.attempt) for run in state.running}
             self._ranks = {key: rank for key, rank in self._ranks.items() if key in present}
 
-    def _pick(self, waiting: Sequence[Work], state: EngineState, books: _Books) -> Work | None:
+    def _pick(
+        self, waiting: Sequence[Work], state: EngineState, pick_state: _PickState
+    ) -> Work | None:
         if not waiting:
             return None
-        books.served.decay(state.now_s)
+        pick_state.served.decay(state.now_s)
         slots = self._free_slots(state)
         order = [
-            self._plan(work, need, books.served)
+            self._plan(work, need, pick_state.served)
             for work in waiting
-            if slots[(need := self._need(work, state, books)).lane] > 0
+            if slots[(need := self._need(work, state, pick_state)).lane] > 0
         ]
         order.sort(key=lambda plan: plan[:3])
         chosen = self._choose(order, state)
         if chosen is None:
             return None
         work, need = chosen.work, chosen.need
-        books.served.add(need.lane, need.alone_s, state.now_s)
-        books.ranks[work.request_id, work.attempt] = chosen.rank
+        pick_state.served.add(need.lane, need.idle_prefill_s, state.now_s)
+        pick_state.ranks[work.request_id, work.attempt] = chosen.rank
         return work
 
-    def _need(self, work: Work, state: EngineState, books: _Books) -> _Need:
+    def _need(self, work: Work, state: EngineState, pick_state: _PickState) -> _Need:
         key = work.request_id, work.attempt
-        need = books.needs.get(key)
+        need = pick_state.needs.get(key)
         if need is None:
-            need = books.needs[key] = _Need(
+            need = pick_state.needs[key] = _Need(
                 lane_of(work.prompt_tokens, self._weights),
                 self.due_s(work),
                 blocks_needed(work, state.block_tokens),
@@ -239,11 +248,13 @@
             )
         return need
 
-    def _plan(self, work: Work, need: _Need, served: _Served) -> _Plan:
+    def _plan(self, work: Work, need: _Need, served: _ServedPrefill) -> _Plan:
         rank = need.due_s
         guarantee = self._guarantee[need.lane]
-        if "shares" not in self._without and served.has_room(need.lane, need.alone_s, guarantee):
-            rank -= URGENT_LEAD_S
+        if "shares" not in self._without and served.has_room(
+            need.lane, need.idle_prefill_s, guarantee
+        ):
+            rank -= GUARANTEE_LEAD_S
         return _Plan(rank, work.arrived_s, work.request_id, need, work)
 
     def _free_slots(self, state: EngineState) -> list[float]:
@@ -287,7 +298,7 @@
                 break
             free, open_s = free + blocks, end_s
         for plan in order:
-            run_s = plan.need.alone_s + plan.work.output_tokens * pace_s
+            run_s = plan.need.idle_prefill_s + plan.work.output_tokens * pace_s
             fits = plan.need.blocks <= state.free_blocks and run_s <= open_s
             if plan is not head and fits:
                 return plan
@@ -295,14 +306,17 @@
 
 
 SCHEDULERS.register("lanes")(LanesScheduler)
-for _part in PARTS:
-    SCHEDULERS.register(f"lanes-without-{_part}")(partial(LanesScheduler, without=(_part,)))
+for _feature in FEATURES:
+    SCHEDULERS.register(f"lanes-without-{_feature}")(partial(LanesScheduler, without=(_feature,)))
 
 
-def _stretches(weights: Weights) -> tuple[float, ...]:
+def _delay_shares(weights: Weights) -> tuple[float, ...]:
     """Return the patience of each lane as a share of the prefill time."""
     ratio = max(1e-3, weights.long_first_token) / max(1e-3, weights.short_slowdown)
-    return (*STRETCHES, min(MAX_STRETCH, EVEN_STRETCH / ratio**STRETCH_POWER))
+    return (
+        *ALLOWED_DELAY_SHARES,
+        min(MAX_DELAY_SHARE, EVEN_LONG_DELAY_SHARE / ratio**WEIGHT_RATIO_EXPONENT),
+    )
 
 
 def _guarantees(weights: Weights) -> tuple[float, ...]:
--- a/packages/serving/src/sassafrastally/serving/limits.py
+++ b/packages/serving/src/sassafrastally/serving/limits.py
@@ -12,11 +12,16 @@
 import trio
 
 from sassafrastally.core import Service, counter, event
-from sassafrastally.serving.home_calls import HomeCalls
+from sassafrastally.serving.home_calls import HomeClient
 from sassafrastally.serving.refusals import Refusal
 from sassafrastally.serving.rendezvous import home_of, live_entries, rendezvous_order
 from sassafrastally.serving.slice_use import CustomerUse, Share
-from sassafrastally.serving.slice_wire import asks_of, grants_of, reply_of, request_of
+from sassafrastally.serving.slice_wire import (
+    decode_demands,
+    decode_grants,
+    encode_demands,
+    encode_grants,
+)
 from sassafrastally.serving.slices import CustomerSlices
 from sassafrastally.wire.messages import SliceReply, SliceRequest
 
@@ -26,7 +31,7 @@
 
     from sassafrastally.control.bundle import Customer
     from sassafrastally.control.interfaces import BundleSource, Membership
-    from sassafrastally.serving.slices import SliceAsk, SliceGrant
+    from sassafrastally.serving.slices import SliceDemand, SliceGrant
     from sassafrastally.stores.interfaces import VmState
     from sassafrastally.wire.link import Peers, Stream
     from sassafrastally.wire.messages import Message
@@ -37,7 +42,7 @@
 TICK_S = 1.0
 """How often an entry looks which customers it has to report."""
 
-RELAXED_REPORT_S = 5.0
+RELAXED_REPORT_INTERVAL_S = 5.0
 """How often a customer is reported that is far from its limit."""
 
 REFUSED = counter(
@@ -78,11 +83,11 @@
     def __init__(self) -> None:
         self._uses: dict[str, CustomerUse] = {}
         self._homes: dict[str, CustomerSlices] = {}
-        self._home_calls: HomeCalls
+        self._home_client: HomeClient
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Take the questions of other entries and report to the homes."""
-        self._home_calls = HomeCalls(self._peers)
+        self._home_client = HomeClient(self._peers)
         self._peers.on_stream(SliceRequest, self._on_request)
         nursery.start_soon(self._report)
 
@@ -110,7 +115,7 @@
         use.customer = customer
         use.waiting_requests += 1
         try:
-            await self._take(use, tokens)
+            await self._acquire(use, tokens)
         except Refusal as refusal:
             REFUSED.add(1, {"code": refusal.kind.code})
             raise
@@ -123,45 +128,47 @@
         finally:
             use.close(tokens, admission.actual_tokens, trio.current_time() - opened_s)
 
-    async def _take(self, use: CustomerUse, tokens: int) -> None:
-        asks_before = use.asks
-        if use.covers(tokens, trio.current_time()):
-            use.take(tokens, 0.0)
+    async def _acquire(self, use: CustomerUse, tokens: int) -> None:
+        sent_before = use.demands_sent
+        if use.can_admit(tokens, trio.current_time()):
+            use.admit(tokens, 0.0)
             return
         # One question at a time: of two answers that overtake each other, the older one would
         # take back what the newer one granted. The next question counts all who wait meanwhile.
-        async with use.asking:
+        async with use.home_lock:
             now_s = trio.current_time()
-            was_counted = use.asks > asks_before and use.is_refused_room(now_s)
-            if was_counted or use.covers(tokens, now_s):
-                use.take(tokens, 0.0)
+            was_counted = use.demands_sent > sent_before and use.has_no_room(now_s)
+            if was_counted or use.can_admit(tokens, now_s):
+                use.admit(tokens, 0.0)
                 return
-            grant = await self._ask_for(use, tokens)
+            grant = await self._request_slice(use, tokens)
             if grant is None:
                 ON_SHARE.add(1)
-                use.take_share(tokens, self._share(use.customer), trio.current_time())
+                use.admit_on_share(tokens, self._share(use.customer), trio.current_time())
             else:
-                use.take(tokens, grant.retry_after_s)
+                use.admit(tokens, grant.retry_after_s)
 
-    async def _ask_for(self, use: CustomerUse, tokens: int) -> SliceGrant | None:
+    async def _request_slice(self, use: CustomerUse, tokens: int) -> SliceGrant | None:
         home = home_of(_home_key(use.customer.name), self._membership)
-        asked_s = trio.current_time()
-        ask = use.ask(tokens, asked_s)
-        grants = await self._ask(home, [ask]) if home else {}
+        sent_s = trio.current_time()
+        demand = use.make_demand(tokens, sent_s)
+        grants = await self._call_home(home, [demand]) if home else {}
         grant = grants.get(use.customer.name)
-        use.take_over(home.vm if home else "", grant, asked_s)
+        use.apply_grant(home.vm if home else "", grant, sent_s)
         return grant
 
-    async def _ask(self, home: VmState, asks: Sequence[SliceAsk]) -> dict[str, SliceGrant]:
+    async def _call_home(
+        self, home: VmState, demands: Sequence[SliceDemand]
+    ) -> dict[str, SliceGrant]:
         """Return the grants of a home by customer; none when it doesn't answer."""
         if home.vm == self.kernel.vm:
-            return {grant.customer: grant for grant in self._grant(home.vm, asks)}
-        was_silent = self._home_calls.is_silent(home)
-        reply = await self._home_calls.call(home, request_of(asks), ASK_TIME_LIMIT_S)
+            return {grant.customer: grant for grant in self._grant(home.vm, demands)}
+        was_open = self._home_client.is_circuit_open(home)
+        reply = await self._home_client.call(home, encode_demands(demands), ASK_TIME_LIMIT_S)
         if isinstance(reply, SliceReply):
-            return {grant.customer: grant for grant in grants_of(reply)}
-        if not was_silent:
-            self.kernel.events.emit(LimitHomeUnreachable(asks[0].customer, home.vm))
+            return {grant.customer: grant for grant in decode_grants(reply)}
+        if not was_open:
+            self.kernel.events.emit(LimitHomeUnreachable(demands[0].customer, home.vm))
         return {}
 
     def _share(self, customer: Customer) -> Share:
@@ -172,23 +179,23 @@
         rest = customer.max_concurrent % count
         return Share(customer.max_concurrent // count + (1 if rank < rest else 0), 1 / count)
 
-    def _grant(self, entry: str, asks: Sequence[SliceAsk]) -> list[SliceGrant]:
+    def _grant(self, entry: str, demands: Sequence[SliceDemand]) -> list[SliceGrant]:
         """Grant as a home; customers that the bundle in force here doesn't have are left out."""
         in_force = self._bundle.in_force
         known = {item.name: item for item in in_force.bundle.customers} if in_force else {}
         now_s = trio.current_time()
         grants = []
-        for ask in asks:
-            if (customer := known.get(ask.customer)) is None:
+        for demand in demands:
+            if (customer := known.get(demand.customer)) is None:
                 continue
             slices = self._homes.setdefault(customer.name, CustomerSlices(customer, now_s))
             slices.update(customer, now_s)
-            grants.append(slices.grant(entry, ask, now_s))
+            grants.append(slices.grant(entry, demand, now_s))
         return grants
 
     async def _on_request(self, stream: Stream, message: Message) -> None:
         if isinstance(message, SliceRequest):
-            await stream.send(reply_of(self._grant(stream.peer.vm, asks_of(message))))
+            await stream.send(encode_grants(self._grant(stream.peer.vm, decode_demands(message))))
 
     async def _report(self) -> None:
         while True:
@@ -211,17 +218,17 @@
     async def _report_to(self, home: VmState, uses: Sequence[CustomerUse], now_s: float) -> None:
         async with AsyncExitStack() as stack:
             for use in uses:
-                await stack.enter_async_context(use.asking)
-            asks = [use.ask(0, now_s) for use in uses]
-            grants = await self._ask(home, asks)
+                await stack.enter_async_context(use.home_lock)
+            demands = [use.make_demand(0, now_s) for use in uses]
+            grants = await self._call_home(home, demands)
             for use in uses:
-                use.take_over(home.vm, grants.get(use.customer.name), now_s)
+                use.apply_grant(home.vm, grants.get(use.customer.name), now_s)
 
     def _is_due(self, use: CustomerUse, home: VmState, now_s: float) -> bool:
         # A new home doesn't know what the old one granted until it is told: tell it at once.
         is_near_limit = 2 * use.held_requests > use.customer.max_concurrent > 0
-        interval_s = TICK_S if is_near_limit else RELAXED_REPORT_S
-        return home.vm != use.home or now_s - use.asked_s >= interval_s
+        interval_s = TICK_S if is_near_limit else RELAXED_REPORT_INTERVAL_S
+        return home.vm != use.home or now_s - use.last_demand_s >= interval_s
 
     def _forget_idle(self, now_s: float) -> None:
         self._uses = {name: use for name, use in self._uses.items() if not use.is_idle(now_s)}
--- a/packages/serving/src/sassafrastally/serving/naive.py
+++ b/packages/serving/src/sassafrastally/serving/naive.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from sassafrastally.serving.cost import OnlineCostModel
-from sassafrastally.serving.forecast import Playback, PrefillProgress, blocks_needed
+from sassafrastally.serving.forecast import PrefillProgress, QueueSimulation, blocks_needed
 from sassafrastally.serving.scheduling import SCHEDULERS
 
 if TYPE_CHECKING:
@@ -43,9 +43,9 @@
 
     def predict(self, work: Work, waiting: Sequence[Work], state: EngineState) -> Prediction:
         """Return when new work would be served behind all that waits and runs."""
-        left_s = self._progress.update(state, self.cost)
-        playback = Playback(state, left_s, self.cost, _same_rank)
-        return playback.first_token(work, waiting, self.pick)
+        remaining_s = self._progress.update(state, self.cost)
+        simulation = QueueSimulation(state, remaining_s, self.cost, _same_rank)
+        return simulation.predict(work, waiting, self.pick)
 
 
 def _arrival(work: Work) -> tuple[float, str, int]:
--- a/packages/serving/src/sassafrastally/serving/policies.py
+++ b/packages/serving/src/sassafrastally/serving/policies.py
@@ -17,13 +17,13 @@
 MAX_ASKED = 8
 """Most candidates asked for one attempt."""
 
-BOUND_S = 0.005
-BOUND_SHARE = 0.05
+MAX_QUEUE_WAIT_S = 0.005
+MAX_QUEUE_WAIT_SHARE = 0.05
 """Wait behind other work that a replica may add to the first token: fixed part, and share of the
 prefill. The replica knows its wait, where a report is seconds old; beyond the bound it refuses and
 the next one is asked, which costs a round trip."""
 
-AFFINITY_BLOCK = 3
+AFFINITY_HASH_INDEX = 3
 """Place of the hash by which prompts are told apart: about the first two thousand tokens."""
 
 NEAR_BEST_S = 0.02
@@ -34,7 +34,7 @@
 AFFINITY_SHARE = 0.5
 """A replica with the prefix may be later by this share of the prefill, which the cache saves."""
 
-FAR_S = 0.004
+REMOTE_PENALTY_S = 0.004
 """What a candidate in another data centre is charged, about a round trip there and back."""
 
 RANDOM_CHOICES = 2
@@ -42,22 +42,22 @@
 PRIOR_RATE_TOKENS_PER_S = 8_000.0
 """Prefill rate assumed of a replica that hasn't reported one."""
 
-SPARED_SHARE = 0.15
+SHORT_ONLY_SHARE = 0.15
 """Share of the replicas that long prompts leave to short ones, the same in all entries: with every
 replica in a long prefill a short prompt waits at least for the piece under way."""
 
-SPARED_FROM_TOKENS = 4_001
+LONG_PROMPT_TOKENS = 4_001
 """Prompts from this on keep off the spared replicas."""
 
-SPARED_PENALTY = 0.5
+SHORT_ONLY_PENALTY_SHARE = 0.5
 """Share of its prefill that a long prompt waits elsewhere before it takes a spared replica; so
 under overload all replicas are used."""
 
-PIECE_TOKENS = 1_024
+MEAN_CHUNK_WAIT_TOKENS = 1_024
 """Half of the customary piece in which engines compute prefills: what even urgent work waits on
 average while another prefill is under way."""
 
-PARTS = ("affinity", "in-flight", "choices", "near", "ageing", "occupied", "bound", "sparing")
+FEATURES = ("affinity", "in-flight", "choices", "near", "ageing", "occupied", "bound", "sparing")
 """Parts of `PrefixAffinity` that can be left out by name."""
 
 
@@ -88,20 +88,22 @@
     def choose(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[Candidate]:
         """Return the candidates with the least load first, equals in random order."""
         shuffled = self._random.sample(list(candidates), len(candidates))
-        return sorted(shuffled, key=lambda one: (one.queued_tokens, one.running))[:MAX_ASKED]
+        return sorted(shuffled, key=lambda candidate: (candidate.queued_tokens, candidate.running))[
+            :MAX_ASKED
+        ]
 
 
 class _Rated(NamedTuple):
     candidate: Candidate
-    alone_s: float
+    idle_prefill_s: float
     """Prefill on an idle engine."""
     first_token_s: float
     """Expected, with the queue, the entry's own work in flight and the distance."""
 
 
-def _order(one: _Rated) -> tuple[float, int]:
+def _order(replica: _Rated) -> tuple[float, int]:
     # Calls of plain services have no tokens; they go by the calls under way.
-    return one.first_token_s, one.candidate.running + one.candidate.in_flight
+    return replica.first_token_s, replica.candidate.running + replica.candidate.in_flight
 
 
 class PrefixAffinity:
@@ -115,7 +117,7 @@
     random
         Source of the draws.
     without
-        Names out of `PARTS` that are left out.
+        Names out of `FEATURES` that are left out.
     """
 
     def __init__(self, random: Random, without: Sequence[str] = ()) -> None:
@@ -127,56 +129,62 @@
         if not candidates:
             return []
         rated = sorted(self._rate(request, candidates), key=_order)
-        spared = self._spared(request, rated)
-        if request.prompt_tokens >= SPARED_FROM_TOKENS:
-            rated, spared = _keep_off(rated, spared), []
+        short_only = self._short_only(request, rated)
+        if request.prompt_tokens >= LONG_PROMPT_TOKENS:
+            rated, short_only = _usable_for_long(rated, short_only), []
         best = rated[0]
-        bound_s = best.first_token_s + NEAR_BEST_S + NEAR_BEST_SHARE * best.alone_s
-        near = [one for one in rated if one.first_token_s <= bound_s]
+        bound_s = best.first_token_s + NEAR_BEST_S + NEAR_BEST_SHARE * best.idle_prefill_s
+        near = [replica for replica in rated if replica.first_token_s <= bound_s]
         order = self._draw(near)
-        home = self._home(request, rated)
-        if home and home.first_token_s <= best.first_token_s + AFFINITY_SHARE * home.alone_s:
-            order.insert(0, home)
+        affine = self._affinity_replica(request, rated)
+        if (
+            affine
+            and affine.first_token_s <= best.first_token_s + AFFINITY_SHARE * affine.idle_prefill_s
+        ):
+            order.insert(0, affine)
         # What the draw meets may have changed since its report; no long prompt is on these.
-        order += spared
+        order += short_only
         order += rated
-        asked = list({one.candidate.vm: one.candidate for one in order}.values())[:MAX_ASKED]
+        asked = list({replica.candidate.vm: replica.candidate for replica in order}.values())[
+            :MAX_ASKED
+        ]
         if "bound" in self._without:
             return asked
-        max_wait_s = BOUND_S + BOUND_SHARE * best.alone_s
-        return [one._replace(max_wait_s=max_wait_s) for one in asked]
+        max_wait_s = MAX_QUEUE_WAIT_S + MAX_QUEUE_WAIT_SHARE * best.idle_prefill_s
+        return [candidate._replace(max_wait_s=max_wait_s) for candidate in asked]
 
     def _rate(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[_Rated]:
         # The report's figure is for a typical prompt of the lane, not for this one; what it is
         # over that of the best candidate is the wait.
-        floor_s = min(one.first_token_s for one in candidates)
-        return [self._rate_one(request, one, floor_s) for one in candidates]
+        floor_s = min(candidate.first_token_s for candidate in candidates)
+        return [self._rate_one(request, candidate, floor_s) for candidate in candidates]
 
-    def _rate_one(self, request: RouteRequest, one: Candidate, floor_s: float) -> _Rated:
-        rate = one.prefill_tokens_per_s or PRIOR_RATE_TOKENS_PER_S
-        alone_s = request.prompt_tokens / rate
-        wait_s = one.first_token_s - floor_s
+    def _rate_one(self, request: RouteRequest, candidate: Candidate, floor_s: float) -> _Rated:
+        rate = candidate.prefill_tokens_per_s or PRIOR_RATE_TOKENS_PER_S
+        idle_prefill_s = request.prompt_tokens / rate
+        wait_s = candidate.first_token_s - floor_s
         if "ageing" not in self._without:
-            wait_s = max(0.0, wait_s - one.report_age_s)
+            wait_s = max(0.0, wait_s - candidate.report_age_s)
         if "in-flight" not in self._without:
             # A report lags: without this an entry that just read "idle" would send there until
             # the next report, and all entries would do so at once.
-            wait_s += one.in_flight_tokens / rate
+            wait_s += candidate.in_flight_tokens / rate
         if "occupied" not in self._without:
-            wait_s += _interruption_s(one, rate)
-        far_s = 0.0 if one.is_near or "near" in self._without else FAR_S
-        return _Rated(one, alone_s, alone_s + wait_s + far_s)
+            wait_s += _chunk_wait_s(candidate, rate)
+        remote_s = 0.0 if candidate.is_near or "near" in self._without else REMOTE_PENALTY_S
+        return _Rated(candidate, idle_prefill_s, idle_prefill_s + wait_s + remote_s)
 
-    def _spared(self, request: RouteRequest, rated: list[_Rated]) -> list[_Rated]:
+    def _short_only(self, request: RouteRequest, rated: list[_Rated]) -> list[_Rated]:
         """Return the replicas that are left to short prompts, in the order given."""
         if "sparing" in self._without:
             return []
         scores = {
-            one.candidate.vm: rendezvous_score(request.target, one.candidate.vm) for one in rated
+            replica.candidate.vm: rendezvous_score(request.target, replica.candidate.vm)
+            for replica in rated
         }
-        count = int(SPARED_SHARE * len(rated))
+        count = int(SHORT_ONLY_SHARE * len(rated))
         vms = set(sorted(scores, key=lambda vm: scores[vm], reverse=True)[:count])
-        return [one for one in rated if one.candidate.vm in vms]
+        return [replica for replica in rated if replica.candidate.vm in vms]
 
     def _draw(self, near: list[_Rated]) -> list[_Rated]:
         if "choices" in self._without:
@@ -184,35 +192,35 @@
         drawn = self._random.sample(near, min(RANDOM_CHOICES, len(near)))
         return sorted(drawn, key=_order)
 
-    def _home(self, request: RouteRequest, rated: list[_Rated]) -> _Rated | None:
+    def _affinity_replica(self, request: RouteRequest, rated: list[_Rated]) -> _Rated | None:
         if "affinity" in self._without or not request.prefix_hashes:
             return None
-        key = request.prefix_hashes[min(AFFINITY_BLOCK, len(request.prefix_hashes) - 1)]
-        return max(rated, key=lambda one: rendezvous_score(f"{key:x}", one.candidate.vm))
+        key = request.prefix_hashes[min(AFFINITY_HASH_INDEX, len(request.prefix_hashes) - 1)]
+        return max(rated, key=lambda replica: rendezvous_score(f"{key:x}", replica.candidate.vm))
 
 
-def _interruption_s(one: Candidate, rate: float) -> float:
+def _chunk_wait_s(candidate: Candidate, rate: float) -> float:
     """Return the wait for the piece of prefill that is under way.
 
     A report that says "no queue" may hide a long prefill. The memory in use shows it: the tokens
     held were or are being computed, and may still be for as long as that takes.
     """
-    held_tokens = (one.total_blocks - one.free_blocks) * one.block_tokens
-    busy_s = max(0.0, held_tokens / rate - one.report_age_s)
-    return min(busy_s, PIECE_TOKENS / rate)
+    held_tokens = (candidate.total_blocks - candidate.free_blocks) * candidate.block_tokens
+    busy_s = max(0.0, held_tokens / rate - candidate.report_age_s)
+    return min(busy_s, MEAN_CHUNK_WAIT_TOKENS / rate)
 
 
 ROUTING_POLICIES.register("prefix-affinity")(PrefixAffinity)
 
 
-def _keep_off(rated: list[_Rated], spared: list[_Rated]) -> list[_Rated]:
+def _usable_for_long(rated: list[_Rated], short_only: list[_Rated]) -> list[_Rated]:
     """Return what is open to a long prompt: all replicas if it waits too long for the others."""
-    others = [one for one in rated if one not in spared]
+    others = [replica for replica in rated if replica not in short_only]
     gain_s = others[0].first_token_s - rated[0].first_token_s
-    return others if gain_s <= SPARED_PENALTY * rated[0].alone_s else rated
+    return others if gain_s <= SHORT_ONLY_PENALTY_SHARE * rated[0].idle_prefill_s else rated
 
 
-for _part in PARTS:
-    ROUTING_POLICIES.register(f"prefix-affinity-without-{_part}")(
-        partial(PrefixAffinity, without=(_part,))
+for _feature in FEATURES:
+    ROUTING_POLICIES.register(f"prefix-affinity-without-{_feature}")(
+        partial(PrefixAffinity, without=(_feature,))
     )
--- a/packages/serving/src/sassafrastally/serving/prefix.py
+++ b/packages/serving/src/sassafrastally/serving/prefix.py
@@ -41,7 +41,7 @@
     hashes: list[int] = []
     state = hashlib.blake2b(digest_size=_HASH_BYTES)
     start = 0
-    for end in _ends(len(prompt), block_bytes):
+    for end in _block_ends(len(prompt), block_bytes):
         state.update(prompt[start:end])
         hashes.append(int.from_bytes(state.copy().digest(), "big"))
         start = end
@@ -50,18 +50,18 @@
 
 def prefix_tokens(count: int) -> int:
     """Return how many prompt tokens the first `count` hashes stand for."""
-    return sum(PREFIX_BLOCK_TOKENS * _stride(place) for place in range(count))
+    return sum(PREFIX_BLOCK_TOKENS * _block_stride(index) for index in range(count))
 
 
-def _stride(place: int) -> int:
-    fine = MAX_PREFIX_HASHES // 2
-    return 1 if place < fine else 1 << min(16, (place - fine) // 4 + 1)
+def _block_stride(index: int) -> int:
+    uniform = MAX_PREFIX_HASHES // 2
+    return 1 if index < uniform else 1 << min(16, (index - uniform) // 4 + 1)
 
 
-def _ends(size: int, block_bytes: int) -> Iterable[int]:
+def _block_ends(size: int, block_bytes: int) -> Iterable[int]:
     end = 0
-    for place in range(MAX_PREFIX_HASHES):
-        end += block_bytes * _stride(place)
+    for index in range(MAX_PREFIX_HASHES):
+        end += block_bytes * _block_stride(index)
         if end > size:
             return
         yield end
@@ -78,7 +78,7 @@
 
     def __init__(self, capacity: int = MAX_TRACKED_HASHES) -> None:
         self._capacity = capacity
-        self._held: OrderedDict[int, None] = OrderedDict()
+        self._cached_hashes: OrderedDict[int, None] = OrderedDict()
         self._sequence = 0
         self._trust = 1.0
         self.gaps = 0
@@ -104,18 +104,18 @@
             return
         if self._sequence and sequence > self._sequence + 1:
             self.gaps += 1
-            self._held.clear()
+            self._cached_hashes.clear()
         self._sequence = sequence
         if kind == "stored":
             self._keep(prefix_hash)
         elif kind == "removed":
-            self._held.pop(prefix_hash, None)
+            self._cached_hashes.pop(prefix_hash, None)
         elif kind == "cleared":
-            self._held.clear()
+            self._cached_hashes.clear()
 
     def restart(self) -> None:
         """Forget all: the engine has a new incarnation with an empty memory."""
-        self._held.clear()
+        self._cached_hashes.clear()
         self._sequence = 0
         self._trust = 1.0
 
@@ -126,9 +126,9 @@
         """
         count = 0
         for prefix_hash in hashes:
-            if prefix_hash not in self._held:
+            if prefix_hash not in self._cached_hashes:
                 break
-            self._held.move_to_end(prefix_hash)
+            self._cached_hashes.move_to_end(prefix_hash)
             count += 1
         guess = int(prefix_tokens(count) * self._trust)
         return max(0, min(guess, prompt_tokens - 1))
@@ -145,7 +145,7 @@
             self._keep(prefix_hash)
 
     def _keep(self, prefix_hash: int) -> None:
-        self._held[prefix_hash] = None
-        self._held.move_to_end(prefix_hash)
-        if len(self._held) > self._capacity:
-            self._held.popitem(last=False)
+        self._cached_hashes[prefix_hash] = None
+        self._cached_hashes.move_to_end(prefix_hash)
+        if len(self._cached_hashes) > self._capacity:
+            self._cached_hashes.popitem(last=False)
--- a/packages/serving/src/sassafrastally/serving/receipts.py
+++ b/packages/serving/src/sassafrastally/serving/receipts.py
@@ -276,13 +276,13 @@
 
 def _pack(facts: ReceiptFacts) -> bytes:
     short = facts._replace(
-        limit=_figure(facts.limit),
-        measured=_figure(facts.measured),
-        retry_after_s=_figure(facts.retry_after_s),
+        limit=_rounded(facts.limit),
+        measured=_rounded(facts.measured),
+        retry_after_s=_rounded(facts.retry_after_s),
         wall_s=round(facts.wall_s, WALL_DIGITS),
-        customer=_short(facts.customer),
-        vm=_short(facts.vm),
-        data_centre=_short(facts.data_centre),
+        customer=_truncated(facts.customer),
+        vm=_truncated(facts.vm),
+        data_centre=_truncated(facts.data_centre),
     )
     return zlib.compress(json.dumps(short, ensure_ascii=False, allow_nan=False).encode(), level=9)
 
@@ -302,9 +302,9 @@
     return facts
 
 
-def _figure(value: float) -> float:
+def _rounded(value: float) -> float:
     return float(f"{value:.{FIGURE_DIGITS}g}")
 
 
-def _short(name: str) -> str:
+def _truncated(name: str) -> str:
     return name.encode()[:MAX_NAME_BYTES].decode(errors="ignore")
--- a/packages/serving/src/sassafrastally/serving/slice_wire.py
+++ b/packages/serving/src/sassafrastally/serving/slice_wire.py
@@ -4,25 +4,25 @@
 
 from typing import TYPE_CHECKING
 
-from sassafrastally.serving.slices import LAPSE_S, SliceAsk, SliceGrant
+from sassafrastally.serving.slices import SLICE_TTL_S, SliceDemand, SliceGrant
 from sassafrastally.wire.messages import SliceReply, SliceRequest
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
 
-def request_of(asks: Sequence[SliceAsk]) -> SliceRequest:
+def encode_demands(demands: Sequence[SliceDemand]) -> SliceRequest:
     """Return the message of some questions."""
     return SliceRequest(
-        customers=tuple(ask.customer for ask in asks),
-        open_requests=tuple(ask.open_requests for ask in asks),
-        want_requests=tuple(ask.want_requests for ask in asks),
-        want_tokens=tuple(ask.want_tokens for ask in asks),
-        returned_tokens=tuple(ask.returned_tokens for ask in asks),
+        customers=tuple(demand.customer for demand in demands),
+        open_requests=tuple(demand.open_requests for demand in demands),
+        want_requests=tuple(demand.want_requests for demand in demands),
+        want_tokens=tuple(demand.want_tokens for demand in demands),
+        returned_tokens=tuple(demand.returned_tokens for demand in demands),
     )
 
 
-def asks_of(request: SliceRequest) -> list[SliceAsk]:
+def decode_demands(request: SliceRequest) -> list[SliceDemand]:
     """Return the questions of a message; lists of unequal length are cut to the shortest."""
     rows = zip(
         request.customers,
@@ -32,10 +32,10 @@
         request.returned_tokens,
         strict=False,
     )
-    return [SliceAsk(*row) for row in rows]
+    return [SliceDemand(*row) for row in rows]
 
 
-def reply_of(grants: Sequence[SliceGrant]) -> SliceReply:
+def encode_grants(grants: Sequence[SliceGrant]) -> SliceReply:
     """Return the message of some grants."""
     return SliceReply(
         customers=tuple(grant.customer for grant in grants),
@@ -43,11 +43,11 @@
         tokens=tuple(grant.tokens for grant in grants),
         held_requests=tuple(grant.held_requests for grant in grants),
         retry_after_s=tuple(grant.retry_after_s for grant in grants),
-        lapse_s=LAPSE_S,
+        lapse_s=SLICE_TTL_S,
     )
 
 
-def grants_of(reply: SliceReply) -> list[SliceGrant]:
+def decode_grants(reply: SliceReply) -> list[SliceGrant]:
     """Return the grants of a message; lists of unequal length are cut to the shortest."""
     rows = zip(
         reply.customers,
--- a/packages/serving/src/sassafrastally/serving/slices.py
+++ b/packages/serving/src/sassafrastally/serving/slices.py
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from sassafrastally.control.bundle import Customer
 
-LAPSE_S = 15.0
+SLICE_TTL_S = 15.0
 """How long a slice of the open requests may be used after it was asked for."""
 
 HOME_MARGIN_S = 1.0
 """How much longer the home counts it; covers the time of the messages."""
 
-SPARE_SHARE = 0.5
+PREFETCH_LIMIT_SHARE = 0.5
 """Part of a limit up to which entries get more than they need at the moment: it saves messages
 while the limit is far away, and refuses nobody on account of what others only set aside."""
 
-AHEAD = 8
+PREFETCH_FACTOR = 8
 """How many times what an entry needs it gets on top, where there is enough to spare."""
 
 
-class SliceAsk(NamedTuple):
+class SliceDemand(NamedTuple):
     """What one entry reports and asks for one customer."""
 
     customer: str
@@ -106,12 +106,12 @@
         self.balance = min(self.balance + elapsed_s * self.rate_per_s, self.burst_tokens)
 
 
-def burst_of(customer: Customer) -> float:
+def bucket_capacity(customer: Customer) -> float:
     """Return how many tokens a customer's bucket holds: a second's worth at least."""
     return max(float(customer.burst_tokens), customer.rate_tokens_per_s)
 
 
-class _Held(NamedTuple):
+class _HeldSlice(NamedTuple):
     requests: int
     until_s: float
 
@@ -128,56 +128,58 @@
     """
 
     def __init__(self, customer: Customer, now_s: float) -> None:
-        self._held: dict[str, _Held] = {}
-        self._bucket = TokenBucket(customer.rate_tokens_per_s, burst_of(customer), now_s)
+        self._held: dict[str, _HeldSlice] = {}
+        self._bucket = TokenBucket(customer.rate_tokens_per_s, bucket_capacity(customer), now_s)
         self._customer = customer
 
     def is_idle(self, now_s: float) -> bool:
         """Whether no entry holds a slice and the bucket is full, so that it can be forgotten."""
-        self._drop_lapsed(now_s)
+        self._drop_expired(now_s)
         return not self._held and self._bucket.is_full(now_s)
 
     def update(self, customer: Customer, now_s: float) -> None:
         """Take over the limits of a new bundle."""
         if customer != self._customer:
             self._customer = customer
-            self._bucket.resize(customer.rate_tokens_per_s, burst_of(customer), now_s)
+            self._bucket.resize(customer.rate_tokens_per_s, bucket_capacity(customer), now_s)
 
-    def grant(self, entry: str, ask: SliceAsk, now_s: float) -> SliceGrant:
+    def grant(self, entry: str, demand: SliceDemand, now_s: float) -> SliceGrant:
         """Return what an entry gets, and count it as held."""
-        self._drop_lapsed(now_s)
-        requests = self._grant_requests(entry, ask)
+        self._drop_expired(now_s)
+        requests = self._grant_requests(entry, demand)
         # Open requests count as held even beyond what was granted: they run to their end.
-        held = max(requests, ask.open_requests)
+        held = max(requests, demand.open_requests)
         self._held.pop(entry, None)
         if held:
-            self._held[entry] = _Held(held, now_s + LAPSE_S + HOME_MARGIN_S)
-        tokens, retry_after_s = self._grant_tokens(ask, now_s)
-        total = sum(slice_.requests for slice_ in self._held.values())
-        return SliceGrant(ask.customer, requests, tokens, total, retry_after_s)
+            self._held[entry] = _HeldSlice(held, now_s + SLICE_TTL_S + HOME_MARGIN_S)
+        tokens, retry_after_s = self._grant_tokens(demand, now_s)
+        total = sum(held_slice.requests for held_slice in self._held.values())
+        return SliceGrant(demand.customer, requests, tokens, total, retry_after_s)
 
-    def _grant_requests(self, entry: str, ask: SliceAsk) -> int:
+    def _grant_requests(self, entry: str, demand: SliceDemand) -> int:
         limit = self._customer.max_concurrent
         if not limit:
-            return ask.want_requests
-        others = sum(slice_.requests for name, slice_ in self._held.items() if name != entry)
-        spare = max(int(limit * SPARE_SHARE) - others - ask.want_requests, 0)
-        ahead = min(ask.want_requests * AHEAD, spare)
-        return min(ask.want_requests + ahead, max(limit - others, 0))
-
-    def _grant_tokens(self, ask: SliceAsk, now_s: float) -> tuple[int, float]:
-        self._bucket.give_back(ask.returned_tokens)
-        if not self._customer.rate_tokens_per_s or not ask.want_tokens:
-            return ask.want_tokens, 0.0
-        wait_s = self._bucket.take(ask.want_tokens, now_s)
+            return demand.want_requests
+        others = sum(
+            held_slice.requests for name, held_slice in self._held.items() if name != entry
+        )
+        headroom = max(int(limit * PREFETCH_LIMIT_SHARE) - others - demand.want_requests, 0)
+        extra = min(demand.want_requests * PREFETCH_FACTOR, headroom)
+        return min(demand.want_requests + extra, max(limit - others, 0))
+
+    def _grant_tokens(self, demand: SliceDemand, now_s: float) -> tuple[int, float]:
+        self._bucket.give_back(demand.returned_tokens)
+        if not self._customer.rate_tokens_per_s or not demand.want_tokens:
+            return demand.want_tokens, 0.0
+        wait_s = self._bucket.take(demand.want_tokens, now_s)
         if wait_s:
             return 0, wait_s
-        spare = max(self._bucket.balance - self._bucket.burst_tokens * SPARE_SHARE, 0.0)
-        ahead = min(ask.want_tokens * AHEAD, int(spare))
-        self._bucket.take(ahead, now_s)
-        return ask.want_tokens + ahead, 0.0
+        headroom = max(self._bucket.balance - self._bucket.burst_tokens * PREFETCH_LIMIT_SHARE, 0.0)
+        extra = min(demand.want_tokens * PREFETCH_FACTOR, int(headroom))
+        self._bucket.take(extra, now_s)
+        return demand.want_tokens + extra, 0.0
 
-    def _drop_lapsed(self, now_s: float) -> None:
-        lapsed = [name for name, slice_ in self._held.items() if slice_.until_s <= now_s]
+    def _drop_expired(self, now_s: float) -> None:
+        lapsed = [name for name, held_slice in self._held.items() if held_slice.until_s <= now_s]
         for name in lapsed:
             del self._held[name]
--- a/packages/serving/src/sassafrastally/serving/spans.py
+++ b/packages/serving/src/sassafrastally/serving/spans.py
@@ -15,7 +15,7 @@
 IMPORT_BLOCKS_PER_BLOCK = 64
 """Blocks of an import that cost the importing engine one block."""
 
-MEMBER_SHARE = 0.875
+SPAN_MEMORY_SHARE = 0.875
 """Most of an engine's memory that spans get. The rest is for other work: with none left, a single
 span would stop all short requests on its engines for as long as it lasts."""
 
@@ -58,7 +58,7 @@
 
 def span_blocks(total_blocks: int) -> int:
     """Return the most blocks of an engine that spans get."""
-    return int(total_blocks * MEMBER_SHARE)
+    return int(total_blocks * SPAN_MEMORY_SHARE)
 
 
 def import_blocks(blocks: int) -> int:
--- a/packages/serving/tests/test_claim_shard.py
+++ b/packages/serving/tests/test_claim_shard.py
@@ -10,7 +10,6 @@
 from sassafrastally.serving.claim_shard import (
     BadClaimValue,
     Claim,
-    ClaimAsk,
     ClaimBlock,
     ClaimOperation,
     ClaimResult,
@@ -18,12 +17,18 @@
     ClosedSegment,
     Head,
     Placement,
+    ShardRequest,
     decode_head,
     encode_block,
     encode_head,
 )
 from sassafrastally.serving.claim_store import HEAD_CLAIMS, SEGMENT_CLAIMS
-from sassafrastally.serving.claim_wire import ask_of, reply_of, request_of, result_of
+from sassafrastally.serving.claim_wire import (
+    decode_reply,
+    decode_request,
+    encode_reply,
+    encode_request,
+)
 from sassafrastally.wire.codec import decode_frame, encode_frame
 from sassafrastally.wire.messages import Frame
 
@@ -84,19 +89,19 @@
 
 class TestMessages:
     @pytest.mark.parametrize(
-        "ask",
+        "shard_request",
         [
-            ClaimAsk(ClaimOperation.CLAIM, CLAIMS[0]),
-            ClaimAsk(ClaimOperation.REPLACE, CLAIMS[0], CLAIMS[1].placement),
+            ShardRequest(ClaimOperation.CLAIM, CLAIMS[0]),
+            ShardRequest(ClaimOperation.REPLACE, CLAIMS[0], CLAIMS[1].placement),
         ],
     )
-    def test_questions_round_trip(self, ask):
-        assert ask_of(_carried(request_of(ask, 1.5))) == ask
+    def test_questions_round_trip(self, shard_request):
+        assert decode_request(_carried(encode_request(shard_request, 1.5))) == shard_request
 
     @pytest.mark.parametrize("state", list(ClaimState))
     def test_answers_round_trip(self, state):
         result = ClaimResult(state, CLAIMS[0].placement, 2.5)
-        assert result_of(_carried(reply_of(result))) == result
+        assert decode_reply(_carried(encode_reply(result))) == result
 
     @pytest.mark.parametrize(
         "change",
@@ -111,12 +116,12 @@
         ],
     )
     def test_out_of_bounds(self, change):
-        good = request_of(ClaimAsk(ClaimOperation.CLAIM, CLAIMS[0]), 1.0)
-        assert ask_of(good) is not None
-        assert ask_of(good._replace(**change)) is None
+        good = encode_request(ShardRequest(ClaimOperation.CLAIM, CLAIMS[0]), 1.0)
+        assert decode_request(good) is not None
+        assert decode_request(good._replace(**change)) is None
 
     def test_grant_without_a_placement_is_no_answer(self):
-        assert result_of(reply_of(ClaimResult(ClaimState.GRANTED))) is None
+        assert decode_reply(encode_reply(ClaimResult(ClaimState.GRANTED))) is None
 
 
 def _carried(message):
--- a/packages/serving/tests/test_cost.py
+++ b/packages/serving/tests/test_cost.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sassafrastally.serving.cost import CHANGE_RUN, DOUBTFUL_RUN, OnlineCostModel
+from sassafrastally.serving.cost import SLOW_RUN_SAMPLES, SPEED_CHANGE_SAMPLES, OnlineCostModel
 
 LENGTHS = (1_500, 3_000, 8_000, 40_000, 200_000)
 
@@ -96,7 +96,7 @@
         prompts have come since, and the costs of the long ones stem from before.
         """
         model = taught()
-        for _ in range(CHANGE_RUN):
+        for _ in range(SPEED_CHANGE_SAMPLES):
             model.observe_first_token(3_000, engine_s(3_000, speed), 1)
         for tokens in (3_000, 200_000):
             assert model.prefill_s(tokens) == pytest.approx(engine_s(tokens, speed), rel=0.25)
@@ -121,7 +121,7 @@
 
     def test_engine_that_slows_down_while_always_busy_is_followed(self) -> None:
         model = taught()
-        for _ in range(8 * DOUBTFUL_RUN):
+        for _ in range(8 * SLOW_RUN_SAMPLES):
             model.observe_first_token(3_000, engine_s(3_000, 0.5), 6)
         assert model.prefill_s(3_000) == pytest.approx(engine_s(3_000, 0.5), rel=0.1)
 
--- a/packages/serving/tests/test_lanes.py
+++ b/packages/serving/tests/test_lanes.py
@@ -125,9 +125,9 @@
         """
         engine, longs = self._overload(make_scheduler(weights), seed, weights)
         for work in longs:
-            patience_s = engine.scheduler.due_s(work) - work.arrived_s  # type: ignore[attr-defined]
+            allowed_delay_s = engine.scheduler.due_s(work) - work.arrived_s  # type: ignore[attr-defined]
             own_s = work.prompt_tokens / 10_000
-            bound_s = 2 * (patience_s + own_s) / (1 - RESERVED_SHARE)
+            bound_s = 2 * (allowed_delay_s + own_s) / (1 - RESERVED_SHARE)
             assert engine.first_tokens[work.request_id] - work.arrived_s <= bound_s
 
     def test_without_ageing_the_long_one_starves(self) -> None:
--- a/packages/serving/tests/test_limits.py
+++ b/packages/serving/tests/test_limits.py
@@ -10,7 +10,7 @@
 
 from sassafrastally.control.bundle import Customer
 from sassafrastally.serving.refusals import Refusal
-from sassafrastally.serving.slices import LAPSE_S, TokenBucket
+from sassafrastally.serving.slices import SLICE_TTL_S, TokenBucket
 from sassafrastally.testing.limit_fleet import NAMES, LimitFleet
 
 LIMIT = 20
@@ -89,7 +89,7 @@
         entry = next(name for name in NAMES if name != concurrent.home())
         await concurrent.request(entry, 0.1)
         concurrent.isolate(entry)
-        await trio.sleep(LAPSE_S + 2.0)
+        await trio.sleep(SLICE_TTL_S + 2.0)
         async with trio.open_nursery() as nursery:
             for _ in range(LIMIT):
                 nursery.start_soon(concurrent.request, entry, 1.0)
@@ -172,7 +172,7 @@
             await _one_fault(limits, random)
             assert limits.most_open <= 2 * LIMIT + (2 * LIMIT // 5 if limits.fleet.cuts else 0)
             limits.most_open = 0
-            await trio.sleep(LAPSE_S + MAX_DURATION_S + 3.0)
+            await trio.sleep(SLICE_TTL_S + MAX_DURATION_S + 3.0)
             limits.most_open = 0
             await trio.sleep(5.0)
             if not limits.fleet.cuts:
