--- a/packages/serving/src/sassafrastally/serving/__init__.py
+++ b/packages/serving/src/sassafrastally/serving/__init__.py
@@ -1,4 +1,4 @@
-"""What entries and sidecars decide by: costs, lanes, routing, limits, claims, refusals."""
+"""Admission, scheduling and routing decisions shared by entries and sidecars."""
 
 from __future__ import annotations
 
--- a/packages/serving/src/sassafrastally/serving/claim_batches.py
+++ b/packages/serving/src/sassafrastally/serving/claim_batches.py
@@ -1,4 +1,4 @@
-"""Batches of claims: what arrives together gets into the KV service by one write."""
+"""Batched writes of claims to the KV service."""
 
 from __future__ import annotations
 
@@ -28,13 +28,14 @@
     from sassafrastally.serving.claim_store import ShardStore
 
 MAX_BATCH_CLAIMS = 64
-"""Claims in one write at most; half of what a head holds."""
+"""Maximum number of claims in one write; half of the capacity of a head."""
 
 MAX_QUEUED_CLAIMS = 1_024
-"""Claims that wait for one shard at most; further ones are refused."""
+"""Maximum number of queued claims per shard; further claims are refused."""
 
 IDLE_EXPIRY_S = 60.0
-"""An idle shard is forgotten, so that an entry that isn't its home doesn't hold its segments."""
+"""Idle time after which a shard's snapshot is dropped, so that an entry that is no longer its home
+does not keep its segments in memory."""
 
 CONFLICT_BASE_S = 0.005
 CONFLICT_CAP_S = 0.2
@@ -48,41 +49,42 @@
 
 
 MIN_FAILURE_EVENT_INTERVAL_S = 10.0
-"""Least time between two failure events of one shard: an outage must not fill the ring."""
+"""Minimum interval between failure events of one shard, so that an outage does not fill the event
+ring."""
 
 
 @event(5101, "warning")
 class ClaimBatchFailed(NamedTuple):
-    """Claims couldn't be settled; their requests are refused."""
+    """Claims could not be resolved; their requests are refused."""
 
     claims: int
-    """How many since the last such event."""
+    """Number of failed claims since the previous event."""
     reason: str
 
 
 class PendingClaim:
-    """A question that waits for its shard."""
+    """A shard request that is queued for its shard."""
 
     def __init__(self, request: ShardRequest) -> None:
         self.request = request
         self.done = trio.Event()
         self.is_abandoned = False
-        """Whether nobody waits any more; it is not written then."""
+        """Whether the caller has stopped waiting; an abandoned claim is not written."""
         self.result = ClaimResult(ClaimState.UNAVAILABLE)
 
     def settle(self, result: ClaimResult) -> None:
-        """Give the answer."""
+        """Set the result and wake the caller."""
         self.result = result
         self.done.set()
 
 
 def resolve_request(request: ShardRequest, existing: Claim | None) -> ClaimResult | None:
-    """Return the answer that a known claim gives; ``None`` when a claim has to be written.
+    """Return the result that an existing claim implies; ``None`` when a claim must be written.
 
     Notes
     -----
-    A placement is random and used once, so it is the asker's own token: found in the shard, it
-    shows that an earlier write, whose answer was lost, did take effect.
+    A placement is random and used once, so it identifies the request. Finding it in the shard
+    shows that an earlier write took effect although its response was lost.
     """
     if existing is None:
         is_lookup = request.operation is ClaimOperation.LOOKUP
@@ -99,7 +101,7 @@
 
 
 class ShardWorker:
-    """Settles the claims of one shard, one batch after another.
+    """Resolves the claims of one shard in sequential batches.
 
     Parameters
     ----------
@@ -108,9 +110,9 @@
     settings
         Intervals and time limits.
     random
-        Source of the jitter between conflicting writes.
+        Source of the backoff jitter after write conflicts.
     events
-        The process's events.
+        Event log of the process.
     """
 
     def __init__(
@@ -128,11 +130,11 @@
 
     @property
     def is_queue_full(self) -> bool:
-        """Whether no further claim may wait."""
+        """Whether the queue is full."""
         return len(self._waiting) >= MAX_QUEUED_CLAIMS
 
     async def submit(self, request: ShardRequest, time_limit_s: float) -> ClaimResult:
-        """Return the answer to a question, or that there was none in time."""
+        """Queue a request and return its result, ``UNAVAILABLE`` after the time limit."""
         pending = PendingClaim(request)
         if self.is_queue_full:
             return pending.result
@@ -146,14 +148,14 @@
         return pending.result
 
     async def run(self) -> None:
-        """Settle batches for as long as the process runs."""
+        """Resolve batches until cancelled."""
         while True:
             with trio.move_on_after(IDLE_EXPIRY_S) as idle:
                 await self._arrived.wait()
             if idle.cancelled_caught:
                 self._store.forget()
                 continue
-            # The interval bounds the writes of a shard; a shard that was quiet waits for nothing.
+            # Limits the write rate of a shard; the first write after an idle period is not delayed.
             await trio.sleep_until(self._next_write_s)
             await self._settle(self._next_batch())
             if not self._waiting:
@@ -184,9 +186,9 @@
         for pending in unsettled:
             pending.settle(failure)
         if unsettled:
-            # A write under way may still take effect. What is known is dropped, and the refused
-            # requests' reservations are released, so a claim that lands late names a placement
-            # that is proved not run: the next repeat replaces it.
+            # An in-flight write may still take effect, so the snapshot is dropped. The
+            # reservations of the refused requests are released: a claim that is written late
+            # names a placement that is proved not run, and the next retry replaces it.
             self._store.forget()
             self._report(len(unsettled), reason)
 
@@ -200,10 +202,11 @@
     async def _settle_all(self, batch: list[PendingClaim]) -> None:
         conflicts = 0
         if any(pending.request.operation is not ClaimOperation.CLAIM for pending in batch):
-            # A cached holder may itself have been replaced. A claim may be told of it, since the
-            # asker queries that placement next; a replacement needs the present holder, or two
-            # entries with old views could send it round in circles. A lookup's "absent" is taken
-            # as proof that no request of the key has run, which an old view can't give.
+            # A cached holder may have been replaced since. That is acceptable for a claim, whose
+            # caller queries the returned placement next. A replacement needs the current holder,
+            # otherwise two entries with stale snapshots could redirect the caller to each other
+            # endlessly. A lookup that returns "absent" serves as proof that no request with the
+            # key has run, which a stale snapshot cannot give.
             self._store.forget()
         await self._load()
         while claims := self._answer(batch):
@@ -214,8 +217,8 @@
             except KvBudgetSpent as cause:
                 await trio.sleep(cause.retry_after_s)
             except (KvConflict, MaybeApplied):
-                # Another entry wrote, or the answer was lost after the write. What the shard
-                # holds now tells which: the loop looks for its own placements first.
+                # Another entry wrote first, or the response was lost after the write. The
+                # reloaded shard shows which: the loop first looks for its own placements.
                 CONFLICTS.add(1)
                 await trio.sleep(
                     full_jitter(conflicts, CONFLICT_BASE_S, CONFLICT_CAP_S, self._random)
@@ -234,7 +237,7 @@
                 await trio.sleep(CONFLICT_BASE_S)
 
     def _answer(self, batch: list[PendingClaim]) -> list[Claim]:
-        """Settle what known claims answer; return the claims to be written, one for each key."""
+        """Settle requests that known claims answer; return the claims to write, one per key."""
         new_claims: dict[bytes, Claim] = {}
         for pending in batch:
             if pending.done.is_set():
--- a/packages/serving/src/sassafrastally/serving/claim_layout.py
+++ b/packages/serving/src/sassafrastally/serving/claim_layout.py
@@ -1,8 +1,8 @@
-"""The layout of the claims: what all entries must share for a key to have one shard.
+"""Claim layout: the parameters that map an idempotency key to its shard.
 
-Two entries that counted shards differently, or hashed keys differently, would grant one key
-twice. So the layout lives in the KV service: the first entry writes it once, all others read it,
-and the settings only propose it.
+Entries with a different number of shards or a different key hash would grant the same key twice.
+The layout is therefore stored in the KV service: the first entry writes it once from its settings,
+and all other entries read it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     from sassafrastally.core.kv import Kv
 
 PURPOSE = "claims"
-"""Purpose under which the KV service's calls are budgeted."""
+"""Purpose label under which calls to the KV service are budgeted."""
 
 LAYOUT_KEY = "claims/layout"
 
@@ -35,29 +35,30 @@
     """Claims of idempotency keys."""
 
     shards: int = 8
-    """Shards of the layout that the first entry of a fleet writes; later ones take the written."""
+    """Number of shards in the layout that the first entry of a fleet writes; later entries use the
+    stored layout."""
     retention_s: float = 86_400.0
-    """How long a claim is kept at least, in the layout that the first entry writes."""
+    """Minimum time that a claim is kept, in the layout that the first entry writes."""
     max_closed_segments: int = 80
-    """Closed segments of one shard at most, in the layout that the first entry writes; a full
-    shard refuses new claims until its oldest segment lapses."""
+    """Maximum number of closed segments per shard, in the layout that the first entry writes; a
+    full shard refuses new claims until its oldest segment expires."""
     min_write_interval_s: float = 0.05
-    """Least time between two writes of one shard by this entry."""
+    """Minimum interval between two writes to one shard by this entry."""
     kv_time_limit_s: float = 3.0
-    """Longest time that a batch of claims tries to get into the KV service."""
+    """Time limit for writing a batch of claims to the KV service."""
     forward_time_limit_s: float = 1.0
-    """Longest wait for the home of a shard before the entry writes by itself."""
+    """Time limit for the home of a shard to answer before the entry writes the claim itself."""
     retry_after_s: float = 2.0
-    """When to come back after a refusal, if the KV service doesn't say."""
+    """Retry delay sent with a refusal when the KV service gives none."""
     cache_bytes: int = 32_000_000
-    """Segments that the entry keeps in memory at most."""
+    """Maximum size of the segments cached in memory."""
 
 
 class ClaimLayout(NamedTuple):
-    """What every entry of a fleet shares."""
+    """Claim parameters shared by all entries of a fleet."""
 
     salt: bytes
-    """Secret of the fleet: no customer can choose keys that all fall into one shard."""
+    """Secret of the fleet, so that no customer can choose keys that all map to one shard."""
     shards: int
     retention_s: float
     max_closed_segments: int
@@ -74,14 +75,14 @@
 
 
 async def read_or_create_layout(kv: Kv, settings: ClaimSettings, random: Random) -> ClaimLayout:
-    """Return the fleet's layout, writing the proposed one when there is none.
+    """Return the stored layout; write one from the settings when there is none.
 
     Raises
     ------
     KvUnavailable, MaybeApplied
-        When the KV service doesn't answer.
+        When the KV service does not answer.
     BadClaimValue
-        When the layout can't be read.
+        When the stored layout cannot be decoded.
     """
     for _ in range(READ_ATTEMPTS):
         entry = await kv.get(LAYOUT_KEY, purpose=PURPOSE)
@@ -91,14 +92,14 @@
         proposed = ClaimLayout(
             salt, settings.shards, settings.retention_s, settings.max_closed_segments
         )
-        # The answer may be lost or another entry may have been first: the next read tells which
-        # layout stands, and that one is taken whoever wrote it.
+        # The response may be lost, or another entry may have written first. The next read returns
+        # the stored layout, which is used regardless of its writer.
         try:
             await kv.write([KvWrite(LAYOUT_KEY, _encode(proposed), 0)], purpose=PURPOSE)
         except (KvConflict, MaybeApplied):
             continue
         return proposed
-    raise MaybeApplied(f"{LAYOUT_KEY}: not settled in {READ_ATTEMPTS} reads")
+    raise MaybeApplied(f"{LAYOUT_KEY}: no stored layout found in {READ_ATTEMPTS} reads")
 
 
 def _encode(layout: ClaimLayout) -> bytes:
@@ -117,4 +118,4 @@
             int(fields["max_closed_segments"]),
         )
     except (ValueError, KeyError, TypeError) as cause:
-        raise BadClaimValue("the layout of the claims can't be read") from cause
+        raise BadClaimValue("cannot decode the claim layout") from cause
--- a/packages/serving/src/sassafrastally/serving/claim_shard.py
+++ b/packages/serving/src/sassafrastally/serving/claim_shard.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys and how a shard keeps them in the KV service.
+"""Claims of idempotency keys and their encoding in the KV service.
 
-A shard is one *head* value and a list of *segments*. The head holds the newest claims and is
-changed by compare-and-swap; segments are sorted blocks that are written once and never changed.
-The head lists its segments, so whoever has read a head knows which claims exist.
+A shard consists of one *head* value and a list of *segments*. The head holds the newest claims and
+is updated by compare-and-swap. Segments are sorted, immutable blocks. The head lists its segments,
+so a head identifies all claims of the shard.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
     from collections.abc import Iterable, Iterator
 
 HASH_BYTES = 16
-"""Length of a key's hash and of a body's digest.
+"""Length of a key hash and of a body digest.
 
-With 58 million claims (a day at the target size) the odds that any two keys share a hash are
-5e-24. Eight bytes would be too few: 1e-4, and a caller could search for a colliding body."""
+With 58 million claims (one day at the target load) the probability that any two keys share a hash
+is 5e-24. With eight bytes it would be 1e-4, and a caller could search for a colliding body."""
 
 FILTER_SLOTS = 1 << 16
-"""Bytes of a block's filter, one for each value of two bytes of a hash. A new key has to be looked
-for in all segments of its shard; the filter answers for 13 in 14 of them without a search."""
+"""Size of a block's filter: one byte for each value of two bytes of a hash. A new key is looked up
+in all segments of its shard; the filter skips the search in 13 of 14 segments."""
 
 MIN_FILTERED_CLAIMS = 512
-"""Smaller blocks have no filter."""
+"""Minimum number of claims in a block that has a filter."""
 
 _RECORD = struct.Struct("<16s16s16sHH")
 _BLOCK = struct.Struct("<2sHI")
@@ -41,11 +41,11 @@
 
 @error(5101)
 class BadClaimValue(CodedError):
-    """A value under the claims' keys can't be decoded; no claim of its shard is granted."""
+    """A stored claim value cannot be decoded; no claim of its shard is granted."""
 
 
 class ClaimOperation(StrEnum):
-    """What is asked of a shard."""
+    """Operation of a shard request."""
 
     CLAIM = "claim"
     REPLACE = "replace"
@@ -53,24 +53,24 @@
 
 
 class ClaimState(StrEnum):
-    """How a claim stands."""
+    """State of a claim, as returned to the caller."""
 
     GRANTED = "granted"
-    """The placement asked for holds the key."""
+    """The requested placement holds the key."""
     HELD = "held"
     """Another placement holds the key, for the same body."""
     KEY_REUSED = "key_reused"
-    """The key is held for another body."""
+    """The key is held for a different body."""
     ABSENT = "absent"
-    """Nobody is known to hold the key; only a claim can tell for certain."""
+    """No holder of the key is known; only a claim gives a definite answer."""
     UNAVAILABLE = "unavailable"
-    """The shard couldn't be read or written in time; the key may or may not have been claimed."""
+    """The shard could not be read or written in time; the key may or may not have been claimed."""
     FULL = "full"
-    """The shard holds as many claims as it may; the key was not claimed."""
+    """The shard has reached its maximum size; the key was not claimed."""
 
 
 class Placement(NamedTuple):
-    """Where a request runs: one attempt on one incarnation of a sidecar."""
+    """Location of a request: one attempt on one incarnation of a sidecar."""
 
     vm: str
     incarnation: Incarnation
@@ -79,66 +79,66 @@
 
 
 class Claim(NamedTuple):
-    """An idempotency key and who holds it."""
+    """An idempotency key and the placement that holds it."""
 
     key_hash: bytes
     """Keyed hash of customer and idempotency key, `HASH_BYTES` long."""
     body_digest: bytes
-    """Digest of the request's body, `HASH_BYTES` long."""
+    """Digest of the request body, `HASH_BYTES` long."""
     placement: Placement
 
 
 class ShardRequest(NamedTuple):
-    """One question to a shard."""
+    """One operation on a shard."""
 
     operation: ClaimOperation
     claim: Claim
-    """The claim wanted; of a look-up only the key's hash and the body's digest count."""
+    """The requested claim; a lookup uses only its key hash and body digest."""
     old: Placement | None = None
-    """Placement that a replacement takes the key from."""
+    """Placement to be replaced; only for ``REPLACE``."""
 
 
 class ClaimResult(NamedTuple):
-    """Answer to a `ShardRequest`."""
+    """Result of a `ShardRequest`."""
 
     state: ClaimState
     placement: Placement | None = None
-    """Who holds the key, where somebody does."""
+    """Holder of the key; ``None`` when there is none."""
     retry_after_s: float = 0.0
 
     @property
     def is_granted(self) -> bool:
-        """Whether the placement asked for holds the key."""
+        """Whether the requested placement holds the key."""
         return self.state is ClaimState.GRANTED
 
 
 class ClosedSegment(NamedTuple):
-    """A segment that takes no more claims."""
+    """A segment that accepts no more claims."""
 
     number: int
     closed_wall_s: int
-    """Wall time of its closing by the writer's clock; only a hint of when it lapses."""
+    """Wall time at which the writer closed it; only an estimate of when its lease expires."""
     claims: int
 
 
 class Head(NamedTuple):
-    """The changing value of a shard."""
+    """The mutable value of a shard."""
 
     next_number: int = 1
-    """Number of the next segment; none is used twice."""
+    """Number of the next segment; numbers are never reused."""
     tail: int = 0
-    """Segment that the next full head is merged into; 0 for none."""
+    """Open segment that the next full head is merged into; 0 for none."""
     tail_claims: int = 0
     closed: tuple[ClosedSegment, ...] = ()
     """Oldest first."""
     recent: tuple[Claim, ...] = ()
-    """Claims that are in no segment yet."""
+    """Claims that are not in a segment yet."""
 
 
 class ClaimBlock:
     """A sorted block of claims, searched in its encoded form.
 
-    A claim takes 52 bytes here; as Python objects it would take over 400.
+    An encoded claim takes 52 bytes; as Python objects it would take over 400.
 
     Parameters
     ----------
@@ -148,7 +148,7 @@
     Raises
     ------
     BadClaimValue
-        When it isn't one.
+        When the data is not a valid block.
     """
 
     def __init__(self, data: bytes) -> None:
@@ -157,10 +157,10 @@
             magic, peers, count = _BLOCK.unpack_from(data)
             self._peers, self._start = _decode_peers(data, peers)
         except (struct.error, UnicodeDecodeError) as cause:
-            raise BadClaimValue("the block of claims is cut") from cause
+            raise BadClaimValue("claim block is truncated") from cause
         self._count: int = count
         if magic != _BLOCK_MAGIC or len(data) != self._start + self._count * _RECORD.size:
-            raise BadClaimValue("not a block of claims")
+            raise BadClaimValue("claim block has a wrong magic number or length")
         self._filter = self._make_filter()
 
     def __len__(self) -> int:
@@ -170,7 +170,7 @@
         return (self._claim(index) for index in range(self._count))
 
     def find(self, key_hash: bytes) -> Claim | None:
-        """Return the claim of a key."""
+        """Return the claim of a key; ``None`` when the block has none."""
         if self._filter and not self._filter[_slot(key_hash)]:
             return None
         index = bisect_left(range(self._count), key_hash, key=self._key)
@@ -180,7 +180,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Memory that the block takes."""
+        """Memory used by the data and the filter."""
         return len(self.data) + len(self._filter)
 
     def _make_filter(self) -> bytearray:
@@ -199,7 +199,7 @@
         offset = self._start + index * _RECORD.size
         key_hash, digest, request_id, peer, attempt = _RECORD.unpack_from(self.data, offset)
         if peer >= len(self._peers):
-            raise BadClaimValue("a claim names a peer that isn't listed")
+            raise BadClaimValue("claim refers to a peer index outside the peer list")
         vm, incarnation = self._peers[peer]
         placement = Placement(vm, incarnation, RequestId(request_id.hex()), attempt)
         return Claim(key_hash, digest, placement)
@@ -210,7 +210,7 @@
 
 
 def encode_block(claims: Iterable[Claim]) -> bytes:
-    """Return the block of some claims; of two with one key the later one stays."""
+    """Encode claims as a sorted block; the last claim of a key takes precedence."""
     by_key = {claim.key_hash: claim for claim in claims}
     peers: dict[tuple[str, str], int] = {}
     records = []
@@ -226,23 +226,23 @@
 
 
 def encode_head(head: Head) -> bytes:
-    """Return the value of a head."""
+    """Encode a head as a stored value."""
     fixed = _HEAD.pack(_HEAD_MAGIC, head.next_number, head.tail, head.tail_claims, len(head.closed))
     closed = b"".join(_CLOSED.pack(*segment) for segment in head.closed)
     return fixed + closed + encode_block(head.recent)
 
 
 def decode_head(data: bytes) -> Head:
-    """Return the head of a value; raises `BadClaimValue`."""
+    """Decode a stored head; raises `BadClaimValue`."""
     try:
         magic, next_number, tail, tail_claims, count = _HEAD.unpack_from(data)
         start = _HEAD.size
         end = start + count * _CLOSED.size
         closed = tuple(ClosedSegment(*fields) for fields in _CLOSED.iter_unpack(data[start:end]))
     except struct.error as cause:
-        raise BadClaimValue("the head of the shard is cut") from cause
+        raise BadClaimValue("shard head is truncated") from cause
     if magic != _HEAD_MAGIC or len(closed) != count:
-        raise BadClaimValue("not the head of a shard")
+        raise BadClaimValue("shard head has a wrong magic number or length")
     return Head(next_number, tail, tail_claims, closed, tuple(ClaimBlock(data[end:])))
 
 
--- a/packages/serving/src/sassafrastally/serving/claim_store.py
+++ b/packages/serving/src/sassafrastally/serving/claim_store.py
@@ -1,4 +1,4 @@
-"""One shard of claims as this entry knows it, read from and written to the KV service."""
+"""Storage of one shard of claims in the KV service, with a local snapshot."""
 
 from __future__ import annotations
 
@@ -27,30 +27,31 @@
     from sassafrastally.serving.claim_shard import Claim
 
 HEAD_CLAIMS = 128
-"""Claims in a head at most: the head is written anew with each batch, so it stays near 10 kB."""
+"""Maximum number of claims in a head. Each batch rewrites the head, which stays near 10 kB."""
 
 SEGMENT_CLAIMS = 4_800
-"""Claims from which a segment is closed: 290 kB, far below the KV service's bound."""
+"""Number of claims at which a segment is closed: 290 kB, far below the KV service's value limit."""
 
 EXPIRY_MARGIN_S = 1.0
-"""Added to the hint when a segment lapses: its lease is granted after its closing was noted."""
+"""Added to the estimated expiry of a segment, as its lease is granted after the closing time is
+recorded."""
 
 LOAD_ATTEMPTS = 4
-"""Reads of a shard that is sealed while it is read."""
+"""Maximum number of reads of a shard whose head is sealed concurrently."""
 
 
 @error(5102)
 class ShardFull(CodedError):
-    """A shard holds as many claims as it may; nothing was written."""
+    """A shard has reached its maximum size; nothing was written."""
 
     retry_after_s: float = 0.0
-    """After how many seconds its oldest segment lapses."""
+    """Seconds until its oldest segment expires."""
 
 
 class SegmentCache:
-    """Segments that were read or written, bounded by bytes; the longest unused leave first.
+    """LRU cache of segments, limited by size in bytes.
 
-    A segment never changes and its number is used once, so a kept one is never stale.
+    Segments are immutable and their numbers are never reused, so a cached segment is never stale.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -59,13 +60,13 @@
         self._blocks: OrderedDict[str, ClaimBlock] = OrderedDict()
 
     def get(self, key: str) -> ClaimBlock | None:
-        """Return a segment by its key in the KV service."""
+        """Return the cached segment of a KV key; ``None`` when it is not cached."""
         if key in self._blocks:
             self._blocks.move_to_end(key)
         return self._blocks.get(key)
 
     def put(self, key: str, block: ClaimBlock) -> None:
-        """Keep a segment."""
+        """Add a segment and evict the least recently used ones beyond the size limit."""
         self.drop(key)
         self._blocks[key] = block
         self._size_bytes += block.size_bytes
@@ -73,7 +74,7 @@
             self.drop(next(iter(self._blocks)))
 
     def drop(self, key: str) -> None:
-        """Forget a segment."""
+        """Remove a segment."""
         if (block := self._blocks.pop(key, None)) is not None:
             self._size_bytes -= block.size_bytes
 
@@ -85,14 +86,15 @@
     recent: dict[bytes, Claim]
     tail: ClaimBlock | None
     closed: dict[int, ClaimBlock]
-    """By number, newest first; lapsed ones are left out."""
+    """By number, newest first, without expired segments."""
 
 
 class ShardStore:
     """Reads and writes one shard.
 
-    What it knows may be old: a claim that it finds was made, but one that it doesn't find may
-    have been made since. Only `append` tells, because it succeeds against the known head alone.
+    The local snapshot may be stale: a claim that it contains was granted, but a missing claim may
+    have been granted since. Only `append` is authoritative, as it succeeds only if the head is
+    unchanged.
 
     Parameters
     ----------
@@ -101,9 +103,9 @@
     shard
         Number of the shard.
     layout
-        What all entries share.
+        Layout shared by all entries.
     cache
-        Segments kept by this process.
+        Segment cache of this process.
     clock
         The process's clock.
     """
@@ -120,23 +122,23 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the shard was read."""
+        """Whether there is a snapshot of the shard."""
         return self._snapshot is not None
 
     def forget(self) -> None:
-        """Drop what is known, so that the shard is read before it is used again."""
+        """Drop the snapshot, so that the shard is read again before its next use."""
         self._snapshot = None
 
     async def load(self) -> None:
-        """Read the shard as it is now; raises `KvUnavailable`, `BadClaimValue`."""
+        """Read the current state of the shard; raises `KvUnavailable`, `BadClaimValue`."""
         self._snapshot = None
         for _ in range(LOAD_ATTEMPTS):
             entry = await self._kv.get(self._head_key, purpose=PURPOSE)
             head = Head() if entry is None else decode_head(entry.value)
             tail = await self._segment(head.tail) if head.tail else None
-            # Between the two reads another entry may have sealed the head, and the tail that it
-            # listed is gone. Going on without it, a look-up would miss its claims; and if the tail
-            # was deleted by hand, all of its keys would be granted again.
+            # Another entry may have sealed the head between the two reads and deleted its tail.
+            # Without the tail, a lookup would miss its claims; and if an operator had deleted the
+            # tail, all of its keys would be granted again.
             if head.tail and tail is None:
                 continue
             closed = {}
@@ -146,7 +148,9 @@
             revision = 0 if entry is None else entry.mod_revision
             self._snapshot = _Snapshot(revision, head, _by_key(head.recent), tail, closed)
             return
-        raise MaybeApplied(f"{self._head_key}: changed in each of {LOAD_ATTEMPTS} reads")
+        raise MaybeApplied(
+            f"{self._head_key}: tail segment missing in each of {LOAD_ATTEMPTS} reads"
+        )
 
     def find(self, key_hash: bytes) -> Claim | None:
         """Return the newest known claim of a key."""
@@ -159,19 +163,19 @@
         return next((claim for claim in found if claim is not None), None)
 
     async def append(self, claims: Sequence[Claim]) -> None:
-        """Add claims to the shard if it is as this entry knows it.
+        """Add claims to the shard if it still matches the snapshot.
 
         Parameters
         ----------
         claims
-            At most `HEAD_CLAIMS`, one for each key; a key's newer claim hides its older one.
+            At most `HEAD_CLAIMS`, one per key; a newer claim of a key takes precedence.
 
         Raises
         ------
         KvConflict
-            When the shard has changed: nothing was written.
+            When the shard has changed; nothing was written.
         MaybeApplied
-            When the answer was lost.
+            When the response was lost; the write may have taken effect.
         KvUnavailable, LeaseLost, ShardFull
             When nothing was written.
         """
@@ -186,7 +190,7 @@
         self._snapshot = view._replace(revision=revision, head=head, recent=recent)
 
     async def _append_and_seal(self, view: _Snapshot, claims: Sequence[Claim]) -> None:
-        """Move a full head into a new segment and begin the head with some claims."""
+        """Merge a full head and its tail into a new segment; the new head holds the claims."""
         number = view.head.next_number
         block = ClaimBlock(encode_block([*(view.tail or ()), *view.recent.values()]))
         head = view.head._replace(
@@ -195,8 +199,8 @@
         lease_id = 0
         if len(block) >= SEGMENT_CLAIMS:
             head = await self._close_tail(head, len(block))
-            # The KV service itself deletes a closed segment, by its own clock: an entry whose
-            # clock is wrong or that was frozen can't forget a claim early.
+            # The KV service deletes a closed segment by its own clock, so an entry with a wrong
+            # clock or after a pause cannot delete a claim early.
             lease_id = await self._kv.grant_lease(self._layout.retention_s, purpose=PURPOSE)
         writes = [KvWrite(self._segment_key(number), block.data, 0, lease_id)]
         if view.head.tail:
@@ -214,7 +218,7 @@
         self._snapshot = _Snapshot(revision, head, _by_key(claims), tail, closed)
 
     async def _close_tail(self, head: Head, claims: int) -> Head:
-        """Return the head with its tail closed and its lapsed segments left out."""
+        """Return the head with its tail closed and without its expired segments."""
         kept = await self._without_expired(head.closed)
         if len(kept) >= self._layout.max_closed_segments:
             oldest_end_s = kept[0].closed_wall_s + self._layout.retention_s + EXPIRY_MARGIN_S
@@ -229,8 +233,8 @@
     async def _without_expired(
         self, closed: tuple[ClosedSegment, ...]
     ) -> tuple[ClosedSegment, ...]:
-        # Segments lapse oldest first, each by its own lease, so the search stops at the first
-        # one that is still there. It must be read, not taken from the cache.
+        # Segments expire oldest first, each with its own lease, so the search stops at the first
+        # existing one. It must be read from the KV service, as the cache keeps expired segments.
         for index, segment in enumerate(closed):
             key = self._segment_key(segment.number)
             if await self._kv.get(key, purpose=PURPOSE) is not None:
--- a/packages/serving/src/sassafrastally/serving/claim_wire.py
+++ b/packages/serving/src/sassafrastally/serving/claim_wire.py
@@ -1,4 +1,4 @@
-"""Claims as messages between entries."""
+"""Conversion between shard requests and the messages that carry them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def encode_request(shard_request: ShardRequest, time_limit_s: float) -> ClaimRequest:
-    """Return the message that asks a shard's home."""
+    """Return the message for the home of the request's shard."""
     claim = shard_request.claim
     return ClaimRequest(
         shard_request.operation,
@@ -36,7 +36,7 @@
 
 
 def decode_request(request: ClaimRequest) -> ShardRequest | None:
-    """Return the question of a message; ``None`` when its values are out of bounds."""
+    """Return the shard request of a message; ``None`` when its values are invalid."""
     lengths = (len(request.key_hash), len(request.body_digest))
     if request.operation not in set(ClaimOperation) or lengths != (HASH_BYTES, HASH_BYTES):
         return None
@@ -51,12 +51,12 @@
 
 
 def encode_reply(result: ClaimResult) -> ClaimReply:
-    """Return the message that answers an entry."""
+    """Return the reply message of a result."""
     return ClaimReply(result.state, *(result.placement or NO_PLACEMENT), result.retry_after_s)
 
 
 def decode_reply(reply: ClaimReply) -> ClaimResult | None:
-    """Return the answer of a message; ``None`` when its values are out of bounds."""
+    """Return the result of a reply message; ``None`` when its values are invalid."""
     placement = _placement(reply[1:5])
     if reply.state not in set(ClaimState):
         return None
@@ -67,13 +67,13 @@
 
 
 def is_placement(placement: Placement) -> bool:
-    """Return whether a placement can be kept in a shard."""
+    """Return whether a placement can be stored in a shard."""
     return _placement(placement) is not None
 
 
 def _placement(fields: Sequence[object]) -> Placement | None:
     vm, incarnation, request_id, attempt = fields
-    is_whole = (
+    is_valid = (
         isinstance(vm, str)
         and 0 < len(vm.encode()) < 256
         and _is_id(incarnation)
@@ -81,7 +81,7 @@
         and isinstance(attempt, int)
         and 0 <= attempt < 1 << 16
     )
-    if not is_whole:
+    if not is_valid:
         return None
     return Placement(
         str(vm), Incarnation(str(incarnation)), RequestId(str(request_id)), int(str(attempt))
--- a/packages/serving/src/sassafrastally/serving/claims.py
+++ b/packages/serving/src/sassafrastally/serving/claims.py
@@ -1,11 +1,11 @@
-"""Claims of idempotency keys: a key names one place where its request runs, or nobody holds it.
+"""Claims of idempotency keys: each key is held by at most one placement.
 
-An entry claims a key after a sidecar has reserved and before it commits. Whoever repeats the
-request finds the claim, through whatever entry, and is attached to the first run.
+An entry claims a key after a sidecar has reserved capacity and before it commits. A retry of the
+request through any entry finds the claim and is attached to the first run.
 
-Safety is the compare-and-swap on the shard alone. The home of a shard only saves contention: it
-gathers the claims of many entries into one write. Two homes at once, or a home that was frozen
-and wakes, harm nothing, since the later write meets a conflict and reads again.
+Safety depends only on the compare-and-swap of the shard's head. Each shard has a home entry, which
+batches the claims of many entries into one write to reduce contention. Two homes at once, or a home
+that resumes after a pause, are harmless: the later write fails with a conflict and reads again.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 __all__ = ["ClaimResult", "ClaimService", "ClaimState", "Placement"]
 
 LOOKUP_TIME_LIMIT_S = 0.25
-"""Longest wait for a look-up: it only saves a reservation."""
+"""Time limit of a lookup, which only serves to avoid a needless reservation."""
 
 MAX_RETRY_AFTER_S = 3_600.0
 
@@ -65,12 +65,12 @@
 
 
 class ClaimService(Service):
-    """Claims idempotency keys for this entry, and for others whose shards have their home here.
+    """Claims idempotency keys for this entry and, as a shard's home, for other entries.
 
     Parameters
     ----------
     settings
-        The entry's part of the settings.
+        Claim settings of the entry.
     """
 
     name: ClassVar[str] = "claims"
@@ -87,11 +87,11 @@
 
     @property
     def layout(self) -> ClaimLayout | None:
-        """The fleet's layout; ``None`` before this entry has read it."""
+        """Claim layout of the fleet; ``None`` until this entry has read it."""
         return self._layout
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Take claims of other entries."""
+        """Start to serve claims of other entries."""
         self._nursery = nursery
         self._homes = HomeClient(self._peers)
         self._peers.on_stream(ClaimRequest, self._on_request)
@@ -110,23 +110,23 @@
         body_digest
             Digest of the operation and the body that the caller sent.
         placement
-            Where the request is reserved; it must be new, no other claim may have used it.
+            Where the request is reserved; must not have been used by another claim.
         time_limit_s
-            Longest wait for the answer.
+            Maximum time to wait for the result.
 
         Returns
         -------
         ClaimResult
-            ``GRANTED``: the placement holds the key, commit. ``HELD``: another placement holds
-            it, attach there; if it proves void, call `replace`, which names the present holder.
-            ``KEY_REUSED``: the key was used with another body.
+            ``GRANTED``: the placement holds the key; commit. ``HELD``: another placement holds
+            it; attach there, or call `replace` with that placement if it proves to be void.
+            ``KEY_REUSED``: the key was used with a different body.
 
         Raises
         ------
         Refusal
-            ``claims-unavailable``: whether the key was claimed isn't known. Release the
-            reservation; once that is done the request is proved not run. A claim that lands late
-            names a placement that is void, which a repeat replaces.
+            ``claims-unavailable``: it is unknown whether the key was claimed. Release the
+            reservation, after which the request is proved not run. A claim that is written late
+            names a void placement, which a retry replaces.
         """
         return await self._settle(
             ClaimOperation.CLAIM, customer, key, body_digest, placement, None, time_limit_s
@@ -141,10 +141,10 @@
         body_digest: bytes,
         time_limit_s: float,
     ) -> ClaimResult:
-        """Claim a key for a new placement if an old one holds it, which is proved not run.
+        """Claim a key for a new placement if it is held by an old one that is proved not run.
 
-        Parameters and exceptions are those of `claim`. The caller must have proved that `old`
-        has not run and never will: its sidecar answered a `Query` that voids.
+        Parameters and exceptions are those of `claim`. The caller must have proof that `old` has
+        not run and never will: its sidecar answered a voiding `Query`.
 
         Returns
         -------
@@ -158,12 +158,12 @@
     async def lookup(
         self, customer: str, key: str, body_digest: bytes, time_limit_s: float = LOOKUP_TIME_LIMIT_S
     ) -> ClaimResult:
-        """Return who holds a key at this moment.
+        """Return the current holder of a key.
 
         Raises
         ------
         Refusal
-            ``claims-unavailable``: the shard can't be read, so nothing is known.
+            ``claims-unavailable``: the shard cannot be read, so the holder is unknown.
         """
         return await self._settle(
             ClaimOperation.LOOKUP, customer, key, body_digest, NO_PLACEMENT, None, time_limit_s
@@ -225,13 +225,13 @@
         shard = layout.shard_of(request.claim.key_hash)
         home = home_of(f"claims/{shard}", self._membership)
         if home is not None and home.vm != self.kernel.vm:
-            # The home gets half of the time, so that enough is left to write without it.
+            # The home gets at most half of the time limit, so that time is left to write directly.
             limit_s = min(self._settings.forward_time_limit_s, time_limit_s / 2)
             result = await self._call_home(home, request, limit_s)
             if result is not None and result.state is not ClaimState.UNAVAILABLE:
                 return result
-        # The home may have written the claim although its answer was lost. A write here meets a
-        # conflict then, reads the shard again and finds this entry's own placement in it.
+        # The home may have written the claim although its reply was lost. In that case the write
+        # below conflicts, reloads the shard and finds this entry's own placement in it.
         return await self._worker(layout, shard).submit(request, time_limit_s)
 
     async def _call_home(
--- a/packages/serving/src/sassafrastally/serving/cost.py
+++ b/packages/serving/src/sassafrastally/serving/cost.py
@@ -1,8 +1,8 @@
-"""Costs of prefill and decode on one engine, learned online from what was seen.
+"""Online cost model of prefill and decode on one engine.
 
-Step times of an engine aren't known beforehand and change with its version, its adapters and its
-neighbours. The model fits seconds as a polynomial of length over recent samples, weighted by age,
-and rests on a careful prior where nothing was seen.
+The step times of an engine are not known in advance and change with its version, its adapters and
+other workloads on the host. The model fits the duration as a polynomial of the length to recent
+samples weighted by age. A conservative prior covers lengths without samples.
 """
 
 from __future__ import annotations
@@ -12,60 +12,62 @@
 from typing import NamedTuple
 
 BAND_HALF_LIFE_SAMPLES = 8.0
-"""Among samples of like size, one this many samples old counts half."""
+"""Half-life of a sample's weight, in newer samples of the same size band."""
 
 GLOBAL_HALF_LIFE_SAMPLES = 256.0
-"""Half-life over samples of all sizes, for sizes that are no longer seen."""
+"""Half-life of a sample's weight, in newer samples of all sizes; ages bands without new samples."""
 
 MAX_BAND_SAMPLES = 24
-"""Samples kept of like size; older ones weigh under an eighth."""
+"""Maximum number of samples per size band; the weight of older ones is below an eighth."""
 
 BAND_FACTOR = 4.0
-"""Sizes within this factor are alike. Each band ages by its own samples: if short prompts, which
-are many, aged the long ones, the model would forget what a long one costs before the next came."""
+"""Ratio of the upper to the lower bound of a size band. Each band ages by its own samples: if the
+frequent short prompts aged the long ones, the model would lose the cost of a long prompt before the
+next one arrives."""
 
 CLAMP_RATIO = 2.5
-"""A sample counts as at most this many times the expected cost, and at least its inverse."""
+"""Maximum ratio of a sample to the expected cost; the minimum is its inverse."""
 
 MIN_SAMPLES_TO_CLAMP = 3
-"""Below this the prior is still the larger part of the expectation and clamps nothing."""
+"""Up to this number of samples nothing is clamped, as the expectation still follows mostly from the
+prior."""
 
 SPEED_CHANGE_SAMPLES = 4
-"""So many samples in a row past the clamp on the same side mean that the engine has changed:
-older samples are scaled to the new speed, so a large change is followed after this many samples."""
+"""Number of consecutive samples beyond the clamp on the same side that indicate a speed change of
+the engine. Older samples are then scaled to the new speed."""
 
 SLOW_RUN_SAMPLES = 12
-"""Samples of a busy engine over the expectation are left out, because other streams can only make
-a prefill look slower; after so many in a row without one at the expectation the engine itself is
-slower, and the best of them are taken in."""
+"""Number of consecutive slow samples of a busy engine that indicate a slower engine. Samples of a
+busy engine above the expected cost are normally ignored, because concurrent streams make a prefill
+appear slower; after this many without one at the expected cost, the fastest of them are used."""
 
 SLOW_RUN_ACCEPTED_SAMPLES = 4
-"""How many of them are taken in."""
+"""Number of samples used from a run of slow samples, fastest first."""
 
 PRIOR_PREFILL_FIXED_S = 0.03
 PRIOR_PREFILL_TOKEN_S = 1.0 / 8_000
 PRIOR_PREFILL_SQUARE_S = 1e-10
-"""Careful prior: 8,000 tokens a second, at a million tokens about half of that."""
+"""Conservative prior: 8,000 tokens/s, and about half of that at a million tokens."""
 
 PRIOR_TOKEN_S = 0.03
 PRIOR_TOKEN_STREAM_S = 0.001
-"""Careful prior of a decode step and of what each further stream adds."""
+"""Conservative prior: duration of a decode step, and the increase per stream in the batch."""
 
 PRIOR_LENGTHS = (1_000, 30_000, 300_000)
-"""Where the prior stands in for samples, so that lengths never seen keep its shape."""
+"""Prompt lengths of the prior points, which preserve the shape of the prior for unseen lengths."""
 
 PRIOR_WEIGHT = 0.05
-"""Weight of each prior point against one fresh sample."""
+"""Weight of a prior point relative to a new sample."""
 
 PRIOR_BATCHES = (1, 32)
 
 
 class _Sample(NamedTuple):
     size: float
-    """Uncached tokens of a prefill, or streams in the batch of a decode."""
+    """Uncached tokens of a prefill, or number of streams in a decode batch."""
     cost_s: float
     number: int = 0
-    """Place among the samples of all sizes."""
+    """Sequence number over samples of all sizes."""
 
 
 class _WeightedSample(NamedTuple):
@@ -75,7 +77,7 @@
 
 
 class _Polynomial(NamedTuple):
-    """Seconds as ``fixed_s + linear_s * size + square_s * size ** 2``."""
+    """Duration in seconds: ``fixed_s + linear_s * size + square_s * size ** 2``."""
 
     fixed_s: float
     linear_s: float
@@ -90,7 +92,7 @@
 
 
 class _Fit:
-    """A polynomial fitted to aged, clamped samples, each counted by its relative error."""
+    """Polynomial fitted to clamped, age-weighted samples by relative error."""
 
     def __init__(self, prior: _Polynomial, prior_sizes: tuple[int, ...]) -> None:
         self._prior = prior
@@ -109,7 +111,7 @@
         if side != self._outlier_side:
             self._keep_clamped_outliers()
         if side:
-            # Held back while it isn't clear whether it is an outlier or the engine has changed.
+            # Withheld until it is clear whether this is an outlier or a speed change.
             self._outlier_side = side
             self._outliers.append(sample)
             if len(self._outliers) == SPEED_CHANGE_SAMPLES:
@@ -136,7 +138,7 @@
         self._polynomial = None
 
     def _keep_clamped_outliers(self) -> None:
-        """Take in a run of outliers that came to nothing, as far as the clamp allows."""
+        """Add the clamped outliers of a run too short to indicate a speed change."""
         factor = CLAMP_RATIO**self._outlier_side
         clamped = [
             sample._replace(cost_s=self.at(sample.size) * factor) for sample in self._outliers
@@ -147,7 +149,7 @@
             self._keep(sample)
 
     def _rescale(self) -> None:
-        """Scale all older samples to the new speed; their shape over lengths stays."""
+        """Scale all older samples to the new speed, keeping the shape of the cost curve."""
         ratios = [sample.cost_s / self.at(sample.size) for sample in self._outliers]
         factor = sorted(ratios)[len(ratios) // 2]
         for band in self._bands.values():
@@ -175,8 +177,8 @@
             return self._prior
         total = sum(sample.weight for sample in samples)
         scale = sum(s.weight * s.cost_s / self._prior.at(s.size) for s in samples) / total
-        # The prior's points are scaled to the speed seen, so that a length never seen is expected
-        # as much faster or slower than the prior as the lengths that were.
+        # The prior points are scaled to the observed speed, so that the estimate for an unseen
+        # length deviates from the prior by the same factor as the observed lengths.
         samples += [
             _WeightedSample(size, self._prior.at(size) * scale, PRIOR_WEIGHT)
             for size in self._prior_sizes
@@ -186,12 +188,12 @@
 
 
 def _least_squares(samples: list[_WeightedSample], degree: int) -> _Polynomial:
-    """Return the polynomial of least squared relative error with no negative coefficient.
+    """Return the least-squares fit by relative error without negative coefficients.
 
     Notes
     -----
-    Coefficients that come out negative are left out one at a time and the rest is fitted again;
-    a cost that falls with length would let an unseen length look free.
+    The most negative coefficient is removed and the rest is fitted again until none is negative.
+    With a cost that decreases with length, an unseen length could appear to cost nothing.
     """
     active = list(range(degree))
     while True:
@@ -219,7 +221,7 @@
 
 
 def _eliminate(rows: list[list[float]]) -> list[float]:
-    """Solve a small symmetric positive system by Gaussian elimination with pivots."""
+    """Solve a small symmetric positive definite system by Gaussian elimination with pivoting."""
     size = len(rows)
     for column in range(size):
         pivot = max(range(column, size), key=lambda index: abs(rows[index][column]))
@@ -237,7 +239,7 @@
 
 
 class OnlineCostModel:
-    """The cost model of one engine; implements `CostModel`."""
+    """Online cost model of one engine; implements `CostModel`."""
 
     def __init__(self) -> None:
         self._prefill = _Fit(_PREFILL_PRIOR, PRIOR_LENGTHS)
@@ -245,7 +247,7 @@
         self._slow_samples: list[_Sample] = []
 
     def observe_first_token(self, uncached_tokens: int, elapsed_s: float, running: int) -> None:
-        """Take in one prefill: from start on the engine to the first token."""
+        """Add a prefill sample, measured from the start on the engine to the first token."""
         if uncached_tokens <= 0 or elapsed_s <= 0:
             return
         sample = _Sample(uncached_tokens, elapsed_s)
@@ -263,14 +265,14 @@
             self._slow_samples.clear()
 
     def observe_decode(self, tokens: int, elapsed_s: float, running: int) -> None:
-        """Take in a stretch of decoding after the first token."""
+        """Add a decode sample of some tokens after the first one."""
         if tokens > 0 and elapsed_s > 0:
             self._decode.add(max(1, running), elapsed_s / tokens)
 
     def prefill_s(self, uncached_tokens: int) -> float:
-        """Return how long a prefill takes on the engine alone."""
+        """Return the duration of a prefill on an otherwise idle engine."""
         return self._prefill.at(max(1, uncached_tokens))
 
     def token_s(self, running: int) -> float:
-        """Return the time between tokens with so many streams in the batch."""
+        """Return the time between tokens with the given number of streams in the batch."""
         return self._decode.at(max(1, running))
--- a/packages/serving/src/sassafrastally/serving/explanations.py
+++ b/packages/serving/src/sassafrastally/serving/explanations.py
@@ -1,4 +1,4 @@
-"""What a receipt says in plain words, for the person refused and for the operator."""
+"""Plain-text explanations of receipts, for callers and operators."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 }
 
 DIGEST_DIGITS = 16
-"""Digits of a bundle's digest that are shown."""
+"""Number of digits of a bundle digest that are shown."""
 
 ROUNDED_FROM = 100
-"""Figures from this on are shown as whole numbers."""
+"""Figures of at least this absolute value are shown as whole numbers."""
 
 FIGURES: Registry[Callable[[ReceiptFacts], str]] = Registry("sentence of figures")
-"""Sentences that say a refusal's figures, by code; others say them by limit and unit."""
+"""Functions that describe the figures of a refusal, by code. Other codes use the limit and unit."""
 
 
 def explain(facts: ReceiptFacts) -> str:
-    """Return the explanation of a refusal, several lines of text."""
+    """Return a multi-line explanation of a refusal."""
     kind = REFUSALS.get(facts.code)
     title = kind.title if kind else f"The reason is {facts.code!r}."
     when = datetime.fromtimestamp(facts.wall_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
-    person = [title, *_figures(facts), _outcome(facts), _return(facts)]
-    operator = [
+    for_caller = [title, *_figures(facts), _outcome(facts), _retry_advice(facts)]
+    for_operator = [
         f"Request     {facts.request_id or 'refused before it got a name'}",
         f"Given       {when} by {facts.vm} in {facts.data_centre}",
         f"Customer    {facts.customer or 'not known'}",
         f"Code        {facts.code}, outcome {facts.outcome}",
         f"Bundle      {_bundle(facts)}",
     ]
-    return "\n".join([*person, "", *operator])
+    return "\n".join([*for_caller, "", *for_operator])
 
 
 def _figures(facts: ReceiptFacts) -> list[str]:
@@ -94,7 +94,7 @@
         return f"The outcome is {facts.outcome!r}."
 
 
-def _return(facts: ReceiptFacts) -> str:
+def _retry_advice(facts: ReceiptFacts) -> str:
     if facts.retry_after_s:
         return f"Coming back made sense after {facts.retry_after_s:.3g} s."
     if facts.outcome == Outcome.NOT_RUN:
--- a/packages/serving/src/sassafrastally/serving/forecast.py
+++ b/packages/serving/src/sassafrastally/serving/forecast.py
@@ -1,4 +1,4 @@
-"""When work would be served on one engine: progress of its prefills and a playback of its queue."""
+"""Prediction of start and completion times on one engine by simulating its queue."""
 
 from __future__ import annotations
 
@@ -13,46 +13,45 @@
     from sassafrastally.serving.scheduling import CostModel, Work
 
 MIN_REMAINING_SHARE = 0.05
-"""A prefill that has taken as long as expected and isn't done has at least this share left."""
-
+"""Minimum share of a prefill that is assumed to remain when it runs longer than expected."""
 
 CHUNK_TOKENS = 2_048
-"""Customary size of the pieces in which engines compute a prefill; a new prefill waits for the end
-of the piece under way, half of one on average, whatever its priority."""
+"""Usual chunk size of a chunked prefill. A new prefill waits for the end of the current chunk, on
+average half a chunk, regardless of its priority."""
 
 
 def blocks_needed(work: Work, block_tokens: int) -> int:
-    """Return the KV-cache blocks that a prompt with its whole answer takes."""
+    """Return the KV cache blocks needed for a prompt and its complete output."""
     return -(-(work.prompt_tokens + work.output_tokens) // max(1, block_tokens))
 
 
 def service_s(work: Work, cost: CostModel) -> float:
-    """Return how long the prefill of some work takes on the engine alone."""
+    """Return the prefill duration of the work on an otherwise idle engine."""
     return cost.prefill_s(max(1, work.prompt_tokens - work.cached_tokens))
 
 
 class PrefillProgress:
-    """How much of each prefill on the engine is left, by the costs and the engine's order.
+    """Estimates the remaining time of each prefill on the engine.
 
     Parameters
     ----------
     rank
-        Order in which the engine computes prefills, lowest first.
+        Order in which the engine computes prefills, lowest rank first.
     """
 
     def __init__(self, rank: Callable[[Work], float]) -> None:
         self._rank = rank
         self._remaining_s: dict[tuple[str, int], float] = {}
-        self._seen_s = 0.0
+        self._updated_s = 0.0
 
     def update(self, state: EngineState, cost: CostModel) -> dict[tuple[str, int], float]:
-        """Share out the time since the last call and return the seconds left of each prefill."""
+        """Distribute the time since the last call and return the remaining seconds per prefill."""
         active = [run for run in state.running if run.first_token_s is None]
         remaining: dict[tuple[str, int], float] = {}
         for run in active:
             key = run.work.request_id, run.work.attempt
             remaining[key] = self._remaining_s.get(key, service_s(run.work, cost))
-        clock_s = self._seen_s
+        clock_s = self._updated_s
         for run in sorted(active, key=lambda one: (self._rank(one.work), one.started_s)):
             key = run.work.request_id, run.work.attempt
             begin_s = max(clock_s, run.started_s)
@@ -60,7 +59,7 @@
             least_s = MIN_REMAINING_SHARE * service_s(run.work, cost)
             remaining[key] = max(remaining[key] - spent_s, least_s)
             clock_s = begin_s + spent_s
-        self._seen_s = state.now_s
+        self._updated_s = state.now_s
         self._remaining_s = remaining
         return remaining
 
@@ -72,21 +71,21 @@
 
 
 class QueueSimulation:
-    """A queue and its engine, played forward with the scheduler's own decisions.
+    """Simulates an engine and its queue, using the scheduler's own decisions.
 
-    Prefills go one after the other in the engine's order, and a new one of lower rank interrupts
-    the one under way. Runs decode side by side at the pace of the batch that they join.
+    Prefills run one at a time in the engine's order, and a new prefill with a lower rank preempts
+    the current one. Decodes run concurrently at the speed of the batch that they join.
 
     Parameters
     ----------
     state
-        The engine now.
+        Current state of the engine.
     remaining_s
-        Seconds left of each prefill on the engine.
+        Remaining seconds of each prefill on the engine.
     cost
-        The engine's costs.
+        Cost model of the engine.
     rank
-        The engine's order of prefills, lowest first.
+        Order of prefills on the engine, lowest rank first.
     """
 
     def __init__(
@@ -116,7 +115,7 @@
         waiting: Sequence[Work],
         pick: Callable[[Sequence[Work], EngineState], Work | None],
     ) -> Prediction:
-        """Return when `target` would be served, counted from now."""
+        """Predict when `target` would be served, relative to the current time."""
         queue = [*waiting, target]
         self._first: Work | None = None
         while True:
@@ -131,7 +130,7 @@
                 pace_s = self._cost.token_s(len(self._running))
                 return Prediction(first_s, first_s + target.output_tokens * pace_s)
             if done is None:
-                # Nothing runs and nothing may start: the target doesn't fit this engine at all.
+                # Nothing runs and nothing can start: the target can never fit on this engine.
                 return Prediction(float("inf"), float("inf"))
 
     def _add_run(self, run: Running) -> None:
@@ -162,18 +161,18 @@
             self._add_run(run)
 
     def _step(self) -> Work | None:
-        """Go to the next first token or end and return the work that it belongs to."""
+        """Advance to the next first token or completion and return its work."""
         if not self._prefills and not self._decodes:
             return None
         end_s = self._decodes[0][0] if self._decodes else float("inf")
         if not self._prefills:
-            return self._end_decode()
+            return self._finish_decode()
         head = self._prefills[0].work
         key = head.request_id, head.attempt
         first_s = self._now_s + self._remaining_s[key]
         if end_s < first_s:
             self._remaining_s[key] -= max(0.0, end_s - self._now_s)
-            return self._end_decode()
+            return self._finish_decode()
         heapq.heappop(self._prefills)
         self._now_s = first_s
         index = next(i for i, run in enumerate(self._running) if run.work is head)
@@ -181,7 +180,7 @@
         self._add_run(self._running[index])
         return head
 
-    def _end_decode(self) -> Work:
+    def _finish_decode(self) -> Work:
         end_s, _, work = heapq.heappop(self._decodes)
         self._now_s = max(self._now_s, end_s)
         self._running = [run for run in self._running if run.work is not work]
--- a/packages/serving/src/sassafrastally/serving/home_calls.py
+++ b/packages/serving/src/sassafrastally/serving/home_calls.py
@@ -1,4 +1,4 @@
-"""Questions to the home of a key, which may be gone, frozen or swamped."""
+"""Calls to the home of a key, protected by a circuit breaker per home."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
     from sassafrastally.wire.messages import Message
 
 CIRCUIT_OPEN_S = 1.0
-"""How long a home that gave no answer isn't asked again."""
+"""How long calls to a home fail immediately after one got no reply."""
 
 
 class HomeClient:
-    """Asks homes, and leaves a home that gave no answer alone for a while.
+    """Calls the homes of keys and skips a home for a while after it gave no reply.
 
-    Without that pause each request would wait a whole time limit for a frozen home.
+    A home may be gone, paused or overloaded. Without the circuit breaker, every request would wait
+    for its full time limit on an unresponsive home.
 
     Parameters
     ----------
     peers
-        The links of the process.
+        Peer links of the process.
     """
 
     def __init__(self, peers: Peers) -> None:
@@ -34,11 +35,11 @@
         self._open_until_s: dict[str, float] = {}
 
     def is_circuit_open(self, home: VmState) -> bool:
-        """Whether the home isn't asked at the moment."""
+        """Return whether calls to the home currently fail immediately."""
         return trio.current_time() < self._open_until_s.get(home.vm, 0.0)
 
     async def call(self, home: VmState, message: Message, time_limit_s: float) -> Message | None:
-        """Return a home's answer; ``None`` when there is none, whatever became of the question."""
+        """Return a home's reply; ``None`` when none arrived, even if the home handled the call."""
         if self.is_circuit_open(home):
             return None
         with trio.move_on_after(time_limit_s):
@@ -52,7 +53,7 @@
 
     def _open_circuit(self, vm: str) -> None:
         now_s = trio.current_time()
-        # VMs are replaced all the time: entries of the past are dropped on the way.
+        # VMs are replaced frequently, so expired items are removed here to bound the dictionary.
         self._open_until_s = {
             name: until_s for name, until_s in self._open_until_s.items() if until_s > now_s
         }
--- a/packages/serving/src/sassafrastally/serving/lanes.py
+++ b/packages/serving/src/sassafrastally/serving/lanes.py
@@ -1,8 +1,9 @@
-"""Lanes by prompt length, ordered by due time, so that short and long prompts share an engine.
+"""Earliest-due-first scheduler with lanes by prompt length.
 
-Each lane grants its work a patience: how much longer than alone its first token may take. The due
-time, arrival plus patience, orders the queue and the engine's prefills alike. Work that waits
-comes nearer to its due time while later arrivals get later ones, so none waits without bound.
+Lanes let short and long prompts share an engine. Each lane has an allowed delay: how much later
+than on an idle engine the first token may come. The due time, which is the arrival plus the allowed
+delay, orders both the queue and the prefills on the engine. Later arrivals get later due times, so
+no work waits without bound.
 """
 
 from __future__ import annotations
@@ -29,53 +30,56 @@
 SHORT, MEDIUM, LARGE, LONG = range(4)
 
 LANES = 4
-"""Number of lanes; `LoadReport.first_token_s` has a figure for each."""
+"""Number of lanes; `LoadReport.first_token_s` has one value per lane."""
 
 MAX_PREFILLS = (8, 4, 2, 1)
-"""Most unfinished prefills of each lane on the engine. More of them would only hold memory
-earlier, as the engine computes one prefill at a time; the rest waits here, where it can still be
-reordered and is proved not to have run."""
+"""Maximum number of unfinished prefills of each lane on the engine. The engine computes one prefill
+at a time, so more of them would only allocate memory earlier. The rest stays in this queue, where
+it can be reordered and is proved not to have run."""
 
 ALLOWED_DELAY_SHARES = (0.1, 0.3, 1.0)
-"""Patience of the lanes below the long one, as a share of the prefill time."""
+"""Allowed delays of all lanes except the long one, as shares of the prefill time."""
 
 EVEN_LONG_DELAY_SHARE = 0.5
-"""Patience of the long lane when both weights are equal, as a share of its prefill time."""
+"""Allowed delay of the long lane with equal weights, as a share of the prefill time."""
 
 WEIGHT_RATIO_EXPONENT = 1.5
-"""How strongly the ratio of the weights moves the patience of the long lane."""
+"""Exponent of the weight ratio by which the allowed delay of the long lane is divided."""
 
 MAX_DELAY_SHARE = 8.0
 
 PRIORITY_STEP = 0.5
 PRIORITY_STEP_S = 0.5
-"""What each step of a customer's priority adds to the due time: share of the prefill, and fixed."""
+"""Added to the due time per step of the customer's priority: a share of the prefill time, and a
+fixed time."""
 
 RESERVED_SHARE = 0.6
-"""Share of prefill time that is split into the lanes' guarantees; the rest goes by due time."""
+"""Share of the prefill time that is reserved for the lanes' guarantees; the rest is assigned by due
+time."""
 
 GUARANTEE_LEAD_S = 86_400.0
-"""How far work inside its lane's guarantee goes before all other work."""
+"""Subtracted from the rank of work within its lane's guarantee, which places it before all other
+work."""
 
 SHARE_HALF_LIFE_S = 20.0
-"""Served prefill of so long ago counts half in a lane's share."""
+"""Half-life of the served prefill time that counts towards a lane's share."""
 
 SLACK_MARGIN = 0.1
-"""Share of the expected run that is kept in hand before the time limit."""
+"""Safety margin before the time limit, as a share of the expected run time."""
 
 MAX_RANKS = 256
-"""Ranks of picked work beyond which those that no longer run are dropped."""
+"""Number of stored ranks beyond which those of finished work are dropped."""
 
 PRIORITY_STEPS_PER_S = 100
-"""Resolution of the engine priority; due times are cut to it, so that queue, engine and prediction
-see the same order."""
+"""Resolution of the engine priority. Due times are rounded down to it, so that queue, engine and
+prediction use the same order."""
 
 FEATURES = ("aging", "slack", "shares", "long-bound", "backfill", "engine-priority")
-"""Parts of `LanesScheduler` that can be left out by name."""
+"""Features of `LanesScheduler` that can be disabled by name."""
 
 
 def lane_of(prompt_tokens: int, weights: Weights) -> int:
-    """Return the lane of a prompt: 0 is the shortest."""
+    """Return the lane of a prompt; 0 is the shortest."""
     if prompt_tokens <= weights.short_tokens:
         return SHORT
     if prompt_tokens >= weights.long_tokens:
@@ -85,13 +89,13 @@
 
 
 def lane_probe_tokens(weights: Weights) -> tuple[int, ...]:
-    """Return for each lane the prompt length that stands for it in load reports."""
+    """Return the representative prompt length of each lane for load reports."""
     middle = int((weights.short_tokens * weights.long_tokens) ** 0.5)
     return weights.short_tokens, middle, max(middle, weights.long_tokens - 1), weights.long_tokens
 
 
 class _Need(NamedTuple):
-    """What some work needs, the same through a whole prediction."""
+    """Requirements of some work, constant during a prediction."""
 
     lane: int
     due_s: float
@@ -100,10 +104,10 @@
 
 
 class _Plan(NamedTuple):
-    """Some work in the order of picking."""
+    """Waiting work with its position in the picking order."""
 
     rank: float
-    """Due time; a day earlier inside the lane's guarantee."""
+    """Due time; one day earlier within the lane's guarantee."""
     arrived_s: float
     request_id: str
     need: _Need
@@ -111,7 +115,7 @@
 
 
 class _ServedPrefill:
-    """Prefill seconds that each lane got of late, halved with each half-life."""
+    """Recent prefill seconds of each lane, with exponential decay."""
 
     def __init__(self) -> None:
         self.seconds = [0.0] * LANES
@@ -127,7 +131,7 @@
         self._at_s = max(self._at_s, now_s)
 
     def has_room(self, lane: int, seconds: float, share: float) -> bool:
-        """Return whether so much more stays inside a share of all."""
+        """Return whether the lane stays within its share after the given additional seconds."""
         total = sum(self.seconds) + seconds
         return self.seconds[lane] + seconds <= share * total
 
@@ -139,23 +143,23 @@
 
 
 class _PickState(NamedTuple):
-    """What picking changes; a prediction works on a copy."""
+    """State that picking modifies; a prediction works on a copy."""
 
     served: _ServedPrefill
     ranks: dict[tuple[str, int], float]
     needs: dict[tuple[str, int], _Need]
-    """Needs that were worked out; a prediction asks for the same ones at each of its steps."""
+    """Cache of requirements, which a prediction looks up at each of its steps."""
 
 
 class LanesScheduler:
-    """Earliest due first, over lanes with their own patience, bounds and shares.
+    """Schedules the earliest due work first, with delays, limits and shares per lane.
 
     Parameters
     ----------
     weights
-        What the deployment weighs; they set the lanes' patience and shares.
+        Weights of the deployment, which determine the lanes' allowed delays and shares.
     without
-        Names out of `FEATURES` that are left out, to measure what each earns.
+        Names out of `FEATURES` that are disabled, to measure the effect of each.
     """
 
     def __init__(self, weights: Weights, without: Sequence[str] = ()) -> None:
@@ -174,11 +178,11 @@
         return self._pick(waiting, state, _PickState(self._served, self._ranks, {}))
 
     def engine_priority(self, work: Work, now_s: float) -> int:
-        """Return the rank in steps, so that the engine orders prefills as the queue does."""
+        """Return the rank as an integer, so that the engine orders prefills like the queue."""
         return round(self._rank(work) * PRIORITY_STEPS_PER_S)
 
     def predict(self, work: Work, waiting: Sequence[Work], state: EngineState) -> Prediction:
-        """Return when new work would be served behind what waits and runs."""
+        """Predict when new work would be served after the waiting and running work."""
         remaining_s = self._progress.update(state, self.cost)
         pick_state = _PickState(self._served.copy(), dict(self._ranks), {})
         simulation = QueueSimulation(
@@ -187,7 +191,7 @@
         return simulation.predict(work, waiting, lambda q, s: self._pick(q, s, pick_state))
 
     def due_s(self, work: Work) -> float:
-        """Return by when the first token of some work is due."""
+        """Return the time at which the first token of the work is due."""
         idle_prefill_s = service_s(work, self.cost)
         lane = lane_of(work.prompt_tokens, self._weights)
         run_s = idle_prefill_s + work.output_tokens * self.cost.token_s(1)
@@ -204,7 +208,7 @@
         return self._rank_in(_PickState(self._served, self._ranks, {}), work)
 
     def _rank_in(self, pick_state: _PickState, work: Work) -> float:
-        """Return the place that the work got when it was picked; its due time before that."""
+        """Return the rank that the work got when it was picked; before that, its due time."""
         if "engine-priority" in self._without:
             return 0.0
         rank = pick_state.ranks.get((work.request_id, work.attempt))
@@ -258,7 +262,7 @@
         return _Plan(rank, work.arrived_s, work.request_id, need, work)
 
     def _free_slots(self, state: EngineState) -> list[float]:
-        """Return how many more prefills of each lane may be under way."""
+        """Return how many more prefills of each lane may run."""
         if "long-bound" in self._without:
             return [math.inf] * LANES
         slots: list[float] = list(MAX_PREFILLS)
@@ -278,10 +282,10 @@
         return next((plan for plan in order if plan.need.blocks <= state.free_blocks), None)
 
     def _backfill(self, head: _Plan, order: Sequence[_Plan], state: EngineState) -> _Plan | None:
-        """Return work that ends before overdue work gets its blocks.
+        """Return work that ends before the overdue work at the head can get its blocks.
 
-        Without this bound short work would take each block as it comes free, and a long prompt
-        would never see enough of them at once.
+        Without this limit, short work would take every block that becomes free, and there would
+        never be enough free blocks for a long prompt.
         """
         free, open_s = state.free_blocks, 0.0
         pace_s = self.cost.token_s(len(state.running))
@@ -311,7 +315,7 @@
 
 
 def _delay_shares(weights: Weights) -> tuple[float, ...]:
-    """Return the patience of each lane as a share of the prefill time."""
+    """Return the allowed delay of each lane as a share of the prefill time."""
     ratio = max(1e-3, weights.long_first_token) / max(1e-3, weights.short_slowdown)
     return (
         *ALLOWED_DELAY_SHARES,
@@ -320,7 +324,7 @@
 
 
 def _guarantees(weights: Weights) -> tuple[float, ...]:
-    """Return the share of prefill time reserved for each lane."""
+    """Return the share of the prefill time reserved for each lane."""
     short, long = weights.short_slowdown, weights.long_first_token
     parts = [short + (long - short) * lane / (LANES - 1) for lane in range(LANES)]
     total = sum(parts) or 1.0
--- a/packages/serving/src/sassafrastally/serving/limits.py
+++ b/packages/serving/src/sassafrastally/serving/limits.py
@@ -1,7 +1,8 @@
-"""Limits of customers over all entries, without a write to the KV service on the path.
+"""Customer limits across all entries, without a KV service write in the request path.
 
-Each customer has a home among the entries. The others use what the home has granted them and ask
-it again when that doesn't do. An entry that can't reach the home acts on its equal share.
+One entry is the home of each customer and grants slices of its limits to the other entries, which
+request more when a slice does not suffice. An entry that cannot reach the home falls back to an
+equal share of the limits.
 """
 
 from __future__ import annotations
@@ -37,13 +38,13 @@
     from sassafrastally.wire.messages import Message
 
 ASK_TIME_LIMIT_S = 0.25
-"""Longest wait for a customer's home before the entry acts on its share."""
+"""Time limit of a call to a customer's home, after which the entry uses its equal share."""
 
 TICK_S = 1.0
-"""How often an entry looks which customers it has to report."""
+"""Interval at which an entry checks which customers to report to their homes."""
 
 RELAXED_REPORT_INTERVAL_S = 5.0
-"""How often a customer is reported that is far from its limit."""
+"""Report interval of customers far below their limits."""
 
 REFUSED = counter(
     "sassafrastally.limits.refused", "requests", "Requests over a customer's limit, by code."
@@ -55,7 +56,7 @@
 
 @event(5111, "warning")
 class LimitHomeUnreachable(NamedTuple):
-    """A customer's home doesn't answer; this entry acts on its equal share."""
+    """A customer's home does not respond; this entry uses its equal share of the limits."""
 
     customer: str
     home: str
@@ -66,11 +67,11 @@
 
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
-        """Tokens that it was admitted for."""
+        """Number of tokens that the request was admitted with."""
         self.actual_tokens = tokens
 
     def settle(self, actual_tokens: int) -> None:
-        """Say how many tokens were used; the rest is given back when the request ends."""
+        """Set the number of tokens used; the rest is returned when the request ends."""
         self.actual_tokens = actual_tokens
 
 
@@ -86,26 +87,26 @@
         self._home_client: HomeClient
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Take the questions of other entries and report to the homes."""
+        """Start to serve slice requests of other entries and to report to the homes."""
         self._home_client = HomeClient(self._peers)
         self._peers.on_stream(SliceRequest, self._on_request)
         nursery.start_soon(self._report)
 
     def admit(self, customer: Customer, tokens: int) -> AbstractAsyncContextManager[Admission]:
-        """Return a context in which a request of the customer is open.
+        """Return a context manager that admits a request and counts it as open.
 
         Parameters
         ----------
         customer
-            The customer as the bundle in force has it.
+            The customer as defined in the bundle in force.
         tokens
-            Prompt tokens and most output tokens.
+            Prompt tokens plus the maximum number of output tokens.
 
         Raises
         ------
         Refusal
-            On entry: ``rate-limit`` or ``concurrency-limit``, with the limit, what was measured
-            and when to come back.
+            On entering the context: ``rate-limit`` or ``concurrency-limit``, with the limit, the
+            measured value and the retry delay.
         """
         return self._admitted(customer, tokens)
 
@@ -133,12 +134,12 @@
         if use.can_admit(tokens, trio.current_time()):
             use.admit(tokens, 0.0)
             return
-        # One question at a time: of two answers that overtake each other, the older one would
-        # take back what the newer one granted. The next question counts all who wait meanwhile.
+        # Calls to the home are serialized: if two replies arrived out of order, the older one would
+        # revoke what the newer one granted. The next call covers all requests waiting meanwhile.
         async with use.home_lock:
             now_s = trio.current_time()
-            was_counted = use.demands_sent > sent_before and use.has_no_room(now_s)
-            if was_counted or use.can_admit(tokens, now_s):
+            was_covered = use.demands_sent > sent_before and use.has_no_room(now_s)
+            if was_covered or use.can_admit(tokens, now_s):
                 use.admit(tokens, 0.0)
                 return
             grant = await self._request_slice(use, tokens)
@@ -160,7 +161,7 @@
     async def _call_home(
         self, home: VmState, demands: Sequence[SliceDemand]
     ) -> dict[str, SliceGrant]:
-        """Return the grants of a home by customer; none when it doesn't answer."""
+        """Return the grants of a home by customer; empty when it does not respond."""
         if home.vm == self.kernel.vm:
             return {grant.customer: grant for grant in self._grant(home.vm, demands)}
         was_open = self._home_client.is_circuit_open(home)
@@ -180,7 +181,7 @@
         return Share(customer.max_concurrent // count + (1 if rank < rest else 0), 1 / count)
 
     def _grant(self, entry: str, demands: Sequence[SliceDemand]) -> list[SliceGrant]:
-        """Grant as a home; customers that the bundle in force here doesn't have are left out."""
+        """Grant slices as a home; customers missing from the local bundle in force are omitted."""
         in_force = self._bundle.in_force
         known = {item.name: item for item in in_force.bundle.customers} if in_force else {}
         now_s = trio.current_time()
@@ -205,7 +206,7 @@
             self._forget_idle(now_s)
 
     async def _report_due(self, now_s: float) -> None:
-        """Report the customers that are due, one message to each home."""
+        """Report the customers that are due, with one message per home."""
         due: dict[VmState, list[CustomerUse]] = {}
         for use in self._uses.values():
             home = home_of(_home_key(use.customer.name), self._membership)
@@ -225,7 +226,7 @@
                 use.apply_grant(home.vm, grants.get(use.customer.name), now_s)
 
     def _is_due(self, use: CustomerUse, home: VmState, now_s: float) -> bool:
-        # A new home doesn't know what the old one granted until it is told: tell it at once.
+        # A new home learns the slices granted by the old one only from reports: report immediately.
         is_near_limit = 2 * use.held_requests > use.customer.max_concurrent > 0
         interval_s = TICK_S if is_near_limit else RELAXED_REPORT_INTERVAL_S
         return home.vm != use.home or now_s - use.last_demand_s >= interval_s
--- a/packages/serving/src/sassafrastally/serving/naive.py
+++ b/packages/serving/src/sassafrastally/serving/naive.py
@@ -1,4 +1,4 @@
-"""First come, first served: the plain scheduler that others are measured against."""
+"""First-come, first-served scheduler, the baseline for other schedulers."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 @SCHEDULERS.register("naive")
 class NaiveScheduler:
-    """Hands over the oldest work as soon as its blocks are free.
+    """Starts the oldest work as soon as enough blocks are free.
 
     Parameters
     ----------
     weights
-        Not looked at; every scheduler is made with them.
+        Unused; part of the common constructor signature of schedulers.
     """
 
     def __init__(self, weights: Weights) -> None:
         self.cost: CostModel = OnlineCostModel()
-        self._progress = PrefillProgress(_same_rank)
+        self._progress = PrefillProgress(_constant_rank)
 
     def pick(self, waiting: Sequence[Work], state: EngineState) -> Work | None:
-        """Return the oldest work if it fits, otherwise ``None``: nothing overtakes it."""
+        """Return the oldest work if it fits, otherwise ``None``; no other work overtakes it."""
         if not waiting:
             return None
         oldest = min(waiting, key=_arrival)
@@ -38,13 +38,13 @@
         return oldest if fits else None
 
     def engine_priority(self, work: Work, now_s: float) -> int:
-        """Return the same priority for all."""
+        """Return the same priority for all work."""
         return 0
 
     def predict(self, work: Work, waiting: Sequence[Work], state: EngineState) -> Prediction:
-        """Return when new work would be served behind all that waits and runs."""
+        """Predict when new work would be served after all waiting and running work."""
         remaining_s = self._progress.update(state, self.cost)
-        simulation = QueueSimulation(state, remaining_s, self.cost, _same_rank)
+        simulation = QueueSimulation(state, remaining_s, self.cost, _constant_rank)
         return simulation.predict(work, waiting, self.pick)
 
 
@@ -52,5 +52,5 @@
     return work.arrived_s, work.request_id, work.attempt
 
 
-def _same_rank(work: Work) -> float:
+def _constant_rank(work: Work) -> float:
     return 0.0
--- a/packages/serving/src/sassafrastally/serving/outcome.py
+++ b/packages/serving/src/sassafrastally/serving/outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of a request and states of an attempt."""
+"""Outcomes of requests and states of attempts."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class Outcome(StrEnum):
-    """What became of a request, as the caller is told."""
+    """Outcome of a request, as reported to the caller."""
 
     COMPLETED = "completed"
-    """The whole answer was given."""
+    """The complete answer was delivered."""
     NOT_RUN = "not_run"
-    """Proved: no backend server began it and none will."""
+    """It is proved that no backend server started the request and that none will."""
     FAILED = "failed"
-    """It ran and gave no whole answer."""
+    """The request ran and gave no complete answer."""
     UNKNOWN = "unknown"
-    """It may have run; nobody can tell."""
+    """The request may have run; its outcome cannot be determined."""
 
 
 class AttemptState(StrEnum):
-    """What an incarnation of a sidecar knows of an attempt."""
+    """State of an attempt at one incarnation of a sidecar."""
 
     ABSENT = "absent"
-    """Never heard of here in this incarnation; a query that voids leaves a mark, so that a late
-    reserve or commit of it is refused."""
+    """Unknown to this incarnation. A voiding query leaves a tombstone, so that a late reserve or
+    commit is refused."""
     VOIDED = "voided"
-    """Released, lapsed or voided before commit; a later commit is refused. Proof of not run."""
+    """Released, expired or voided before commit; a later commit is refused. Proof of not run."""
     RESERVED = "reserved"
     COMMITTED = "committed"
     """Committed; may be running."""
@@ -34,4 +34,4 @@
     REFUSED = "refused"
     """Refused before commit. Proof of not run."""
     OTHER_INCARNATION = "other_incarnation"
-    """The incarnation asked about is gone; this one can't tell."""
+    """The queried incarnation is gone and the current one does not know the state."""
--- a/packages/serving/src/sassafrastally/serving/policies.py
+++ b/packages/serving/src/sassafrastally/serving/policies.py
@@ -1,4 +1,4 @@
-"""Routing policies: which sidecars an entry asks, and in which order."""
+"""Routing policies: the selection and order of the sidecars that an entry tries."""
 
 from __future__ import annotations
 
@@ -15,61 +15,62 @@
     from sassafrastally.serving.routing import Candidate, RouteRequest
 
 MAX_ASKED = 8
-"""Most candidates asked for one attempt."""
+"""Maximum number of candidates per attempt."""
 
 MAX_QUEUE_WAIT_S = 0.005
 MAX_QUEUE_WAIT_SHARE = 0.05
-"""Wait behind other work that a replica may add to the first token: fixed part, and share of the
-prefill. The replica knows its wait, where a report is seconds old; beyond the bound it refuses and
-the next one is asked, which costs a round trip."""
+"""Maximum delay of the first token by other work on the replica: a fixed part, and a share of the
+prefill. The replica knows its current queue, while reports are seconds old. Beyond the limit it
+refuses and the entry tries the next candidate, which costs a round trip."""
 
 AFFINITY_HASH_INDEX = 3
-"""Place of the hash by which prompts are told apart: about the first two thousand tokens."""
+"""Index of the prefix hash used for affinity; it covers about the first 2,000 tokens."""
 
 NEAR_BEST_S = 0.02
 NEAR_BEST_SHARE = 0.25
-"""Candidates count as equally good while their expected first token is at most this much later
-than that of the best: fixed part, and share of the prefill on an idle engine."""
+"""Maximum delay of the expected first token relative to the best candidate for a candidate to count
+as equally good: a fixed part, and a share of the prefill on an idle engine."""
 
 AFFINITY_SHARE = 0.5
-"""A replica with the prefix may be later by this share of the prefill, which the cache saves."""
+"""Maximum delay of a replica that has the prefix, as a share of the prefill time that its cache
+saves."""
 
 REMOTE_PENALTY_S = 0.004
-"""What a candidate in another data centre is charged, about a round trip there and back."""
+"""Penalty for a candidate in another data centre, about one round trip."""
 
 RANDOM_CHOICES = 2
 
 PRIOR_RATE_TOKENS_PER_S = 8_000.0
-"""Prefill rate assumed of a replica that hasn't reported one."""
+"""Assumed prefill rate of a replica that has not reported one."""
 
 SHORT_ONLY_SHARE = 0.15
-"""Share of the replicas that long prompts leave to short ones, the same in all entries: with every
-replica in a long prefill a short prompt waits at least for the piece under way."""
+"""Share of the replicas that are reserved for short prompts, the same ones in all entries. If all
+replicas ran long prefills, a short prompt would wait at least for the current chunk."""
 
 LONG_PROMPT_TOKENS = 4_001
-"""Prompts from this on keep off the spared replicas."""
+"""Minimum length of prompts that avoid the replicas reserved for short prompts."""
 
 SHORT_ONLY_PENALTY_SHARE = 0.5
-"""Share of its prefill that a long prompt waits elsewhere before it takes a spared replica; so
-under overload all replicas are used."""
+"""Additional delay on the other replicas, as a share of the prefill, beyond which a long prompt
+uses a replica reserved for short prompts, so that all replicas are used under overload."""
 
 MEAN_CHUNK_WAIT_TOKENS = 1_024
-"""Half of the customary piece in which engines compute prefills: what even urgent work waits on
-average while another prefill is under way."""
+"""Half of the usual chunk size of a chunked prefill: the mean wait, in tokens, of even the most
+urgent work while another prefill runs."""
 
 FEATURES = ("affinity", "in-flight", "choices", "near", "ageing", "occupied", "bound", "sparing")
-"""Parts of `PrefixAffinity` that can be left out by name."""
+"""Features of `PrefixAffinity` that can be disabled by name."""
 
 
 @ROUTING_POLICIES.register("round-robin")
 class RoundRobin:
-    """Asks one candidate after the other in turn, whatever their load."""
+    """Rotates through the candidates regardless of their load."""
 
     def __init__(self, random: Random) -> None:
         self._next = random.randrange(1 << 16)
 
     def choose(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[Candidate]:
-        """Return the candidates beginning with the one whose turn it is."""
+        """Return the candidates, starting with the next one in the rotation."""
         if not candidates:
             return []
         ring = sorted(candidates, key=lambda candidate: candidate.vm)
@@ -80,13 +81,13 @@
 
 @ROUTING_POLICIES.register("least-loaded")
 class LeastLoaded:
-    """Asks those with the fewest queued tokens by their last report."""
+    """Prefers the candidates with the fewest queued tokens in their last report."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
 
     def choose(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[Candidate]:
-        """Return the candidates with the least load first, equals in random order."""
+        """Return the candidates by increasing load, ties in random order."""
         shuffled = self._random.sample(list(candidates), len(candidates))
         return sorted(shuffled, key=lambda candidate: (candidate.queued_tokens, candidate.running))[
             :MAX_ASKED
@@ -96,28 +97,28 @@
 class _Rated(NamedTuple):
     candidate: Candidate
     idle_prefill_s: float
-    """Prefill on an idle engine."""
+    """Prefill time on an idle engine."""
     first_token_s: float
-    """Expected, with the queue, the entry's own work in flight and the distance."""
+    """Expected first token, including queue, in-flight work of this entry and network distance."""
 
 
 def _order(replica: _Rated) -> tuple[float, int]:
-    # Calls of plain services have no tokens; they go by the calls under way.
+    # Calls of plain services have no tokens; the number of calls in progress decides.
     return replica.first_token_s, replica.candidate.running + replica.candidate.in_flight
 
 
 class PrefixAffinity:
-    """Prefers the replica that likely holds the prefix, unless others are better by much.
+    """Prefers the replica that likely caches the prefix, unless others are much better.
 
-    Among candidates that are about equally good, two are drawn at random and the better one goes
+    Among candidates that are about equally good, two are drawn at random and the better one comes
     first (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 
     Parameters
     ----------
     random
-        Source of the draws.
+        Source of the random draws.
     without
-        Names out of `FEATURES` that are left out.
+        Names out of `FEATURES` that are disabled.
     """
 
     def __init__(self, random: Random, without: Sequence[str] = ()) -> None:
@@ -125,7 +126,7 @@
         self._without = frozenset(without)
 
     def choose(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[Candidate]:
-        """Return the candidates to ask, best first."""
+        """Return the candidates to try, best first."""
         if not candidates:
             return []
         rated = sorted(self._rate(request, candidates), key=_order)
@@ -142,20 +143,19 @@
             and affine.first_token_s <= best.first_token_s + AFFINITY_SHARE * affine.idle_prefill_s
         ):
             order.insert(0, affine)
-        # What the draw meets may have changed since its report; no long prompt is on these.
+        # The load of the drawn replicas may have changed since their reports; the reserved replicas
+        # run no long prompts.
         order += short_only
         order += rated
-        asked = list({replica.candidate.vm: replica.candidate for replica in order}.values())[
-            :MAX_ASKED
-        ]
+        selected = list({item.candidate.vm: item.candidate for item in order}.values())[:MAX_ASKED]
         if "bound" in self._without:
-            return asked
+            return selected
         max_wait_s = MAX_QUEUE_WAIT_S + MAX_QUEUE_WAIT_SHARE * best.idle_prefill_s
-        return [candidate._replace(max_wait_s=max_wait_s) for candidate in asked]
+        return [candidate._replace(max_wait_s=max_wait_s) for candidate in selected]
 
     def _rate(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[_Rated]:
-        # The report's figure is for a typical prompt of the lane, not for this one; what it is
-        # over that of the best candidate is the wait.
+        # The reported first token is for a typical prompt of the lane, not for this one. Its excess
+        # over the best candidate's is the estimated wait.
         floor_s = min(candidate.first_token_s for candidate in candidates)
         return [self._rate_one(request, candidate, floor_s) for candidate in candidates]
 
@@ -166,8 +166,8 @@
         if "ageing" not in self._without:
             wait_s = max(0.0, wait_s - candidate.report_age_s)
         if "in-flight" not in self._without:
-            # A report lags: without this an entry that just read "idle" would send there until
-            # the next report, and all entries would do so at once.
+            # Reports lag. Without this term, all entries would send their requests to a replica
+            # that just reported an idle engine, until its next report.
             wait_s += candidate.in_flight_tokens / rate
         if "occupied" not in self._without:
             wait_s += _chunk_wait_s(candidate, rate)
@@ -175,7 +175,7 @@
         return _Rated(candidate, idle_prefill_s, idle_prefill_s + wait_s + remote_s)
 
     def _short_only(self, request: RouteRequest, rated: list[_Rated]) -> list[_Rated]:
-        """Return the replicas that are left to short prompts, in the order given."""
+        """Return the replicas reserved for short prompts, in the given order."""
         if "sparing" in self._without:
             return []
         scores = {
@@ -200,10 +200,11 @@
 
 
 def _chunk_wait_s(candidate: Candidate, rate: float) -> float:
-    """Return the wait for the piece of prefill that is under way.
+    """Return the estimated wait for the current prefill chunk.
 
-    A report that says "no queue" may hide a long prefill. The memory in use shows it: the tokens
-    held were or are being computed, and may still be for as long as that takes.
+    A report with an empty queue may hide a long prefill in progress. The memory in use reveals it:
+    the tokens in memory are already computed or being computed, so the engine may still be busy for
+    up to the time that their prefill takes.
     """
     held_tokens = (candidate.total_blocks - candidate.free_blocks) * candidate.block_tokens
     busy_s = max(0.0, held_tokens / rate - candidate.report_age_s)
@@ -214,7 +215,7 @@
 
 
 def _usable_for_long(rated: list[_Rated], short_only: list[_Rated]) -> list[_Rated]:
-    """Return what is open to a long prompt: all replicas if it waits too long for the others."""
+    """Return the replicas for a long prompt; all of them if the wait for the others is too long."""
     others = [replica for replica in rated if replica not in short_only]
     gain_s = others[0].first_token_s - rated[0].first_token_s
     return others if gain_s <= SHORT_ONLY_PENALTY_SHARE * rated[0].idle_prefill_s else rated
--- a/packages/serving/src/sassafrastally/serving/prefix.py
+++ b/packages/serving/src/sassafrastally/serving/prefix.py
@@ -1,7 +1,8 @@
-"""Prefix cache: hashes of a prompt's leading blocks, and guesses of what an engine holds.
+"""Prefix hashes of prompts, and estimates of the contents of an engine's prefix cache.
 
-Engines say late and with gaps what they store and drop. So a hit is a guess: it only shapes the
-order and the prediction, and the engine's own count at the end of a run corrects it.
+Engines report stored and evicted blocks late and with gaps, so a cache hit is only an estimate. It
+influences only scheduling and predictions, and the engine's own count at the end of a run
+corrects it.
 """
 
 from __future__ import annotations
@@ -14,29 +15,29 @@
     from collections.abc import Iterable, Sequence
 
 PREFIX_BLOCK_BYTES = 2_048
-"""Bytes of prompt text in one hashed block, about 512 tokens."""
+"""Size of a hashed block of prompt text, about 512 tokens."""
 
 PREFIX_BLOCK_TOKENS = 512
-"""Tokens that one hashed block stands for."""
+"""Estimated number of tokens in one hashed block."""
 
 MAX_PREFIX_HASHES = 64
-"""Most hashes that a reservation carries: at 8 bytes each half a kilobyte on the wire."""
+"""Maximum number of hashes in a reservation: at 8 bytes each, half a kilobyte on the wire."""
 
 MAX_TRACKED_HASHES = 200_000
-"""Most hashes that a guess keeps, about 20 MB; the one used longest ago leaves first."""
+"""Maximum number of tracked hashes, about 20 MB; the least recently used one is evicted first."""
 
 TRUST_STEP = 0.25
-"""Share of the difference between guess and count by which a correction moves the trust."""
+"""Smoothing factor of the trust: share of the deviation applied by each correction."""
 
 _HASH_BYTES = 8
 
 
 def prefix_hashes(prompt: bytes, block_bytes: int = PREFIX_BLOCK_BYTES) -> tuple[int, ...]:
-    """Return rolling hashes of a prompt's leading blocks, shortest prefix first.
+    """Return the rolling hashes of a prompt's leading blocks, shortest prefix first.
 
     Each hash covers the prompt up to the end of its block, so equal hashes mean equal prefixes.
-    The blocks of the second half of the hashes grow, so that a bounded number of them reaches
-    through a prompt of a million tokens.
+    Blocks grow in the second half of the hashes, so that `MAX_PREFIX_HASHES` of them cover a prompt
+    of a million tokens.
     """
     hashes: list[int] = []
     state = hashlib.blake2b(digest_size=_HASH_BYTES)
@@ -49,7 +50,7 @@
 
 
 def prefix_tokens(count: int) -> int:
-    """Return how many prompt tokens the first `count` hashes stand for."""
+    """Return the estimated number of prompt tokens covered by the first `count` hashes."""
     return sum(PREFIX_BLOCK_TOKENS * _block_stride(index) for index in range(count))
 
 
@@ -68,12 +69,12 @@
 
 
 class PrefixGuess:
-    """What an engine's prefix cache holds, as far as its events tell.
+    """Estimate of an engine's prefix cache, maintained from its cache events.
 
     Parameters
     ----------
     capacity
-        Most hashes kept.
+        Maximum number of tracked hashes.
     """
 
     def __init__(self, capacity: int = MAX_TRACKED_HASHES) -> None:
@@ -82,23 +83,24 @@
         self._sequence = 0
         self._trust = 1.0
         self.gaps = 0
-        """How often events were missing and the guess was dropped."""
+        """Number of gaps in the event sequence, each of which cleared the estimate."""
 
     @property
     def sequence(self) -> int:
-        """Number of the last event taken in."""
+        """Sequence number of the last applied event."""
         return self._sequence
 
     @property
     def trust(self) -> float:
-        """Share of guessed tokens that the engine confirmed of late, 0 to 1."""
+        """Share of the estimated tokens that the engine recently confirmed, 0 to 1."""
         return self._trust
 
     def apply(self, sequence: int, kind: str, prefix_hash: int) -> None:
-        """Take in one event of the engine, ``stored``, ``removed`` or ``cleared``.
+        """Apply a cache event of the engine: ``stored``, ``removed`` or ``cleared``.
 
-        A repeated event is passed over. A jump in the numbers drops the guess: among the missing
-        events may be a removal, and a hit believed wrongly makes every prediction too early.
+        Duplicate and out-of-order events are ignored. A gap in the sequence numbers clears the
+        estimate: a removal may be among the missing events, and a false hit makes predictions too
+        early.
         """
         if self._sequence and sequence <= self._sequence:
             return
@@ -114,15 +116,15 @@
             self._cached_hashes.clear()
 
     def restart(self) -> None:
-        """Forget all: the engine has a new incarnation with an empty memory."""
+        """Reset the estimate, as a new incarnation of the engine starts with an empty cache."""
         self._cached_hashes.clear()
         self._sequence = 0
         self._trust = 1.0
 
     def cached_tokens(self, hashes: Sequence[int], prompt_tokens: int) -> int:
-        """Return the guess of a prompt's tokens in the cache, scaled by the trust.
+        """Return the estimated number of cached prompt tokens, scaled by the trust.
 
-        At least one token is left to compute, as engines do, to have something to sample from.
+        At least one token remains to be computed: engines need it to sample the first output token.
         """
         count = 0
         for prefix_hash in hashes:
@@ -134,9 +136,10 @@
         return max(0, min(guess, prompt_tokens - 1))
 
     def correct(self, hashes: Sequence[int], guessed_tokens: int, counted_tokens: int) -> None:
-        """Take in the engine's own count of cached tokens at the end of a run.
+        """Correct the estimate with the engine's own count of cached tokens at the end of a run.
 
-        The run itself has left its prefix in the cache, which makes good for lost events.
+        The hashes of the run are added, as its prefix is now in the cache even if its events were
+        lost.
         """
         if guessed_tokens > 0:
             share = min(1.0, counted_tokens / guessed_tokens)
--- a/packages/serving/src/sassafrastally/serving/prompt.py
+++ b/packages/serving/src/sassafrastally/serving/prompt.py
@@ -1,4 +1,4 @@
-"""Size and prefix of a prompt, as the entry estimates them before any engine has seen it."""
+"""Estimates of the size and prefix of a prompt, made in the entry."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
     from collections.abc import Sequence
 
 BYTES_PER_TOKEN = 4
-"""Customary average of UTF-8 bytes in a token; the engine's own count corrects it."""
+"""Typical average number of UTF-8 bytes per token; the engine's own count corrects the estimate."""
 
 TOKEN_ID_BYTES = 4
-"""Bytes of a token's number as it is hashed."""
+"""Size of an encoded token ID for hashing."""
 
 MAX_TOKEN_ID = 2 ** (8 * TOKEN_ID_BYTES) - 1
-"""Highest number of a token."""
+"""Maximum token ID."""
 
 
 class PromptShape(NamedTuple):
-    """What routing and admission need to know of a prompt."""
+    """Properties of a prompt that routing and admission use."""
 
     tokens: int
     prefix_hashes: tuple[int, ...]
     """Rolling hashes of the leading blocks, shortest prefix first."""
     is_exact: bool
-    """Whether the tokens were counted, not estimated."""
+    """Whether the token count is exact rather than estimated."""
 
 
 def shape_of_text(text: str) -> PromptShape:
-    """Estimate the shape of a prompt in text; the messages of a chat are joined before."""
+    """Estimate the shape of a text prompt; the caller joins chat messages beforehand."""
     data = text.encode()
     return PromptShape(-(-len(data) // BYTES_PER_TOKEN), prefix_hashes(data), False)
 
 
 def shape_of_tokens(token_ids: Sequence[int]) -> PromptShape:
-    """Return the shape of a prompt that the caller has cut into tokens.
+    """Return the shape of a prompt given as token IDs.
 
     Parameters
     ----------
     token_ids
-        Numbers of the tokens, from 0 to `MAX_TOKEN_ID`.
+        Token IDs, from 0 to `MAX_TOKEN_ID`.
     """
     data = b"".join(token.to_bytes(TOKEN_ID_BYTES, "big") for token in token_ids)
     return PromptShape(len(token_ids), prefix_hashes(data), True)
--- a/packages/serving/src/sassafrastally/serving/receipts.py
+++ b/packages/serving/src/sassafrastally/serving/receipts.py
@@ -1,7 +1,7 @@
-"""Sealed receipts: what made a refusal true, for whoever is asked about it later.
+"""Sealed receipts, which record why a request was refused.
 
-A receipt is the facts themselves, encrypted and authenticated under a key of the fleet. Nothing
-is stored: every entry that has the key opens it, also after all VMs were replaced.
+A receipt contains the facts of a refusal, encrypted and authenticated with a key of the fleet.
+Nothing is stored: every entry that has the key can open it, even after all VMs were replaced.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
     from collections.abc import Iterable
 
 PREFIX = "sr1"
-"""Format of a receipt: ``sr1.<key id>.<length of what follows>.<sealed>``."""
+"""Format prefix of a receipt: ``sr1.<key id>.<length of sealed>.<sealed>``."""
 
 NONCE_BYTES = 12
 TAG_BYTES = 16
 KEY_HEX_DIGITS = 64
 MAX_RECEIPT_CHARS = 600
 MAX_NAME_BYTES = 48
-"""Longest name of a customer, VM or data centre that a receipt keeps; the rest is left out."""
+"""Maximum length of a customer, VM or data centre name in a receipt; longer names are truncated."""
 
 FIGURE_DIGITS = 9
-"""Significant digits of a figure."""
+"""Number of significant digits of a figure."""
 
 WALL_DIGITS = 3
-"""Decimals of the wall time in seconds."""
+"""Number of decimal places of the wall time in seconds."""
 
 MAX_FACTS_BYTES = 4_096
-"""Most bytes that a receipt may unpack to."""
+"""Maximum size of the decompressed facts."""
 
 _KEY_ID = re.compile(r"[a-z0-9][a-z0-9-]{0,15}")
 _RECEIPT = re.compile(rf"{PREFIX}\.({_KEY_ID.pattern})\.([1-9][0-9]{{0,3}})\.([A-Za-z0-9_-]+)")
@@ -49,50 +49,50 @@
 
 @error(5201)
 class ReceiptMalformed(CodedError):
-    """The text isn't a whole receipt: it was cut, or it never was one."""
+    """The text is not a complete receipt: it is truncated, or it is not a receipt at all."""
 
 
 @error(5202)
 class ReceiptKeyUnknown(CodedError):
-    """The receipt names a key that isn't in the key ring."""
+    """The receipt names a key that is not in the key ring."""
 
 
 @error(5203)
 class ReceiptKeyWithdrawn(CodedError):
-    """The receipt is sealed by a key that was withdrawn, so it proves nothing any more."""
+    """The receipt is sealed with a withdrawn key, so it is no longer proof of anything."""
 
 
 @error(5204)
 class ReceiptForged(CodedError):
-    """The receipt wasn't sealed by the key that it names, or was changed afterwards."""
+    """The receipt was not sealed with the key that it names, or was modified afterwards."""
 
 
 @error(5205)
 class ReceiptKeysInvalid(CodedError):
-    """The key ring of the settings can't be used."""
+    """The key ring in the settings is invalid."""
 
 
 class ReceiptKey(NamedTuple):
     """One key of the key ring."""
 
     key_id: str
-    """Lower case letters, digits and hyphens, 16 at most."""
+    """At most 16 lowercase letters, digits and hyphens."""
     secret: Secret
     """32 bytes as 64 hexadecimal digits; empty only for a withdrawn key."""
     withdrawn: bool = False
-    """Whether receipts under the key are no longer believed, as after a theft of the secret."""
+    """Whether receipts sealed with the key are rejected, for example after a leak of the secret."""
 
 
 @section("receipts", "entry")
 class ReceiptSettings(NamedTuple):
-    """Keys of the receipts that are given with refusals."""
+    """Keys of the receipts that are sent with refusals."""
 
     keys: tuple[ReceiptKey, ...] = ()
-    """The first key that isn't withdrawn seals; all open."""
+    """The first key that is not withdrawn seals new receipts; every such key opens receipts."""
 
 
 class ReceiptFacts(NamedTuple):
-    """What a receipt says."""
+    """Contents of a receipt."""
 
     request_id: str
     code: str
@@ -108,15 +108,15 @@
     digest: str
     """Digest of that bundle."""
     wall_s: float
-    """When the refusal was given, by the entry's clock, in seconds since 1970."""
+    """Time of the refusal by the entry's clock, in seconds since the Unix epoch."""
     customer: str
     vm: str
-    """Entry that gave the refusal."""
+    """Entry that refused the request."""
     data_centre: str
 
 
 _EXAMPLE = ReceiptFacts("", "", "", 0.0, 0.0, "", 0.0, 0, "", 0.0, "", "", "")
-"""Type of each field as it comes out of a receipt."""
+"""Example whose field types an opened receipt must match."""
 
 
 class KeyRing:
@@ -130,7 +130,7 @@
     Raises
     ------
     ReceiptKeysInvalid
-        When an id is doubled or a secret isn't 32 bytes.
+        When a key ID is invalid or duplicate, or a secret is not 32 bytes.
     """
 
     def __init__(self, keys: Iterable[ReceiptKey]) -> None:
@@ -141,9 +141,9 @@
 
     @property
     def sealing_key_id(self) -> str:
-        """Id of the key that seals; raises `ReceiptKeysInvalid` when there is none."""
+        """ID of the sealing key; raises `ReceiptKeysInvalid` when there is none."""
         if not self._ciphers:
-            raise ReceiptKeysInvalid("no key that isn't withdrawn")
+            raise ReceiptKeysInvalid("the key ring has no key that can seal receipts")
         return next(iter(self._ciphers))
 
     def cipher(self, key_id: str) -> AESGCM:
@@ -156,9 +156,9 @@
 
     def _add(self, key: ReceiptKey) -> None:
         if not _KEY_ID.fullmatch(key.key_id):
-            raise ReceiptKeysInvalid(f"not a key id: {key.key_id!r}")
+            raise ReceiptKeysInvalid(f"invalid key id: {key.key_id!r}")
         if key.key_id in self._ciphers or key.key_id in self._withdrawn:
-            raise ReceiptKeysInvalid(f"key id {key.key_id!r} is doubled")
+            raise ReceiptKeysInvalid(f"duplicate key id: {key.key_id!r}")
         if key.withdrawn:
             self._withdrawn.add(key.key_id)
             return
@@ -173,16 +173,16 @@
 
 
 def seal_receipt(keys: KeyRing, facts: ReceiptFacts, nonce: bytes) -> str:
-    """Return the receipt of some facts.
+    """Encrypt facts as a receipt.
 
     Parameters
     ----------
     keys
         The key ring.
     facts
-        What the receipt says.
+        Contents of the receipt.
     nonce
-        `NONCE_BYTES` that were never used before with the key.
+        `NONCE_BYTES` bytes; must never be reused with the same key.
     """
     key_id = keys.sealing_key_id
     packed = _pack(facts)
@@ -193,16 +193,16 @@
 
 
 def open_receipt(keys: KeyRing, text: str) -> ReceiptFacts:
-    """Return what a receipt says.
+    """Verify and decrypt a receipt.
 
     Raises
     ------
     ReceiptMalformed
-        When it was cut or isn't a receipt.
+        When the text is truncated or not a receipt.
     ReceiptKeyUnknown, ReceiptKeyWithdrawn
-        When the key that it names can't open it.
+        When the key that it names is not available for opening.
     ReceiptForged
-        When the key that it names did not seal it as it is.
+        When it fails authentication with the key that it names.
     """
     parts = _split(text)
     cipher = keys.cipher(parts.key_id)
@@ -211,7 +211,7 @@
         packed = cipher.decrypt(nonce, sealed, parts.header.encode())
     except InvalidTag:
         raise ReceiptForged(
-            f"key {parts.key_id!r} did not seal this receipt, or it was changed afterwards"
+            f"receipt was not sealed with key {parts.key_id!r}, or was modified afterwards"
         ) from None
     return _unpack(packed)
 
@@ -222,7 +222,7 @@
     Parameters
     ----------
     settings
-        The entry's part of the settings; without keys no receipt can be given.
+        Receipt settings of the entry; without keys no receipt can be sealed.
     """
 
     name: ClassVar[str] = "receipts"
@@ -231,13 +231,13 @@
         self.keys = KeyRing(settings.keys)
 
     def seal(self, facts: ReceiptFacts) -> str:
-        """Return the receipt of some facts; raises `ReceiptKeysInvalid` without a sealing key."""
-        # A nonce used twice under one key would give the key stream away, so it comes from the
-        # system even where the process's own random source is seeded.
+        """Encrypt facts as a receipt; raises `ReceiptKeysInvalid` without a sealing key."""
+        # Reusing a nonce with the same key would reveal the key stream, so the nonce comes from the
+        # operating system even if the random source of the process is seeded.
         return seal_receipt(self.keys, facts, os.urandom(NONCE_BYTES))
 
     def open(self, text: str) -> ReceiptFacts:
-        """Return what a receipt says; raises as `open_receipt` does."""
+        """Verify and decrypt a receipt; raises the errors of `open_receipt`."""
         return open_receipt(self.keys, text)
 
 
@@ -250,19 +250,19 @@
 def _split(text: str) -> _Parts:
     match = _RECEIPT.fullmatch(text.strip()[: MAX_RECEIPT_CHARS + 1])
     if match is None:
-        raise ReceiptMalformed("the text is not a receipt, or its beginning or end is missing")
+        raise ReceiptMalformed("text is not a receipt, or its beginning or end is missing")
     key_id, length, encoded = match.groups()
     if int(length) != len(encoded):
         raise ReceiptMalformed(
-            f"the receipt is cut: {len(encoded)} of {length} characters are there"
+            f"receipt is truncated: {len(encoded)} of {length} characters are present"
         )
     try:
         sealed = base64.urlsafe_b64decode(encoded + "=" * (-len(encoded) % 4))
     except binascii.Error:
-        raise ReceiptMalformed("the receipt's characters don't form whole bytes") from None
-    # Several texts could stand for the same bytes; only the one that was given is a receipt.
+        raise ReceiptMalformed("receipt is not valid base64") from None
+    # Several base64 texts decode to the same bytes; only the canonical one is accepted.
     if len(sealed) < NONCE_BYTES + TAG_BYTES or _encode(sealed) != encoded:
-        raise ReceiptMalformed("the receipt's characters are not as they were given")
+        raise ReceiptMalformed("receipt is too short or not in canonical base64 form")
     return _Parts(f"{PREFIX}.{key_id}.{length}", key_id, sealed)
 
 
@@ -288,17 +288,17 @@
 
 
 def _unpack(packed: bytes) -> ReceiptFacts:
-    # The seal shows that the fleet made these bytes; the bounds hold all the same, since a stolen
-    # key must not let its holder fill an entry's memory.
+    # The data is authenticated, but its size is limited all the same, so that the holder of a
+    # stolen key cannot exhaust the memory of an entry.
     try:
         unpacker = zlib.decompressobj()
         fields = json.loads(unpacker.decompress(packed, MAX_FACTS_BYTES))
         facts = ReceiptFacts(*fields)
     except (zlib.error, ValueError, TypeError, RecursionError) as cause:
-        raise ReceiptMalformed("the receipt's content can't be read") from cause
+        raise ReceiptMalformed("cannot decode the receipt contents") from cause
     kinds = [type(value) for value in facts]
     if kinds != [type(value) for value in _EXAMPLE]:
-        raise ReceiptMalformed("the receipt's content has other fields")
+        raise ReceiptMalformed("receipt contents have unexpected field types")
     return facts
 
 
--- a/packages/serving/src/sassafrastally/serving/refusals.py
+++ b/packages/serving/src/sassafrastally/serving/refusals.py
@@ -1,4 +1,4 @@
-"""The closed catalogue of refusals: why a request was turned down or given up on."""
+"""The closed catalogue of refusals: the reasons why a request is rejected or aborted."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 
 class RefusalKind(NamedTuple):
-    """Entry of the catalogue."""
+    """Item of the refusal catalogue."""
 
     code: str
     status: int
     """HTTP status."""
     outcome: Outcome
     title: str
-    """The reason in one sentence, as the caller reads it."""
+    """The reason in one sentence, as sent to the caller."""
     limit_unit: str
-    """Unit of the limit and the measured figure; empty when the code has none."""
+    """Unit of the limit and the measured value; empty when the code has neither."""
 
 
 REFUSALS: dict[str, RefusalKind] = {}
-"""The whole catalogue by code; the errors page of the docs is made from it."""
+"""The complete catalogue by code; the errors page of the documentation is generated from it."""
 
 
 class Figures(NamedTuple):
-    """What makes a refusal true, at the time it was given."""
+    """Values behind a refusal at the time it was made."""
 
     limit: float = 0.0
     measured: float = 0.0
     retry_after_s: float = 0.0
-    """When to come back; 0 says that coming back doesn't help."""
+    """Retry delay; 0 means that a retry does not help."""
     detail: str = ""
 
 
 @error(5001)
 class Refusal(CodedError):
-    """A request is turned down or given up on, with a code of the catalogue and its figures."""
+    """A request is rejected or aborted, with a code of the catalogue and its figures."""
 
     def __init__(
         self, code: str, figures: Figures | None = None, outcome: Outcome | None = None
@@ -50,7 +50,7 @@
 
 def _define(code: str, status: int, outcome: Outcome, title: str, limit_unit: str = "") -> None:
     if code in REFUSALS:
-        raise ValueError(f"refusal {code!r} is defined twice")
+        raise ValueError(f"duplicate refusal code: {code!r}")
     REFUSALS[code] = RefusalKind(code, status, outcome, title, limit_unit)
 
 
--- a/packages/serving/src/sassafrastally/serving/retries.py
+++ b/packages/serving/src/sassafrastally/serving/retries.py
@@ -1,4 +1,4 @@
-"""When a failed attempt is repeated, and after which pause."""
+"""Decisions on whether and when to retry a failed attempt."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 
 class RetryRules(NamedTuple):
-    """Bounds of the retries of one request."""
+    """Retry limits of one request."""
 
     max_attempts: int = 3
-    """Most attempts that may have run, the first one included."""
+    """Maximum number of attempts that may have run, including the first."""
     base_backoff_s: float = 0.05
-    """Upper bound of the first pause; it doubles with each retry."""
+    """Maximum delay of the first retry; doubles with each retry."""
     max_backoff_s: float = 2.0
-    """Upper bound of any pause that no server asked for."""
+    """Maximum delay of any retry, excluding a delay requested by the server."""
     max_spent_ratio: float = 2.0
-    """Most tokens that all attempts together may cost, in costs of one whole run."""
+    """Maximum token cost of all attempts, as a multiple of the cost of one complete run."""
 
 
 class Attempted(NamedTuple):
-    """What a request has used up so far."""
+    """Resources that a request has used so far."""
 
     attempts: int
     """Attempts that may have run."""
     spent_tokens: int
-    """Tokens that engines have worked through for it."""
+    """Tokens processed by engines for the request."""
     run_tokens: int
-    """Tokens that one whole run costs."""
+    """Token cost of one complete run."""
 
 
 class RetryDecision(NamedTuple):
-    """Whether an attempt follows."""
+    """Whether to make another attempt."""
 
     is_allowed: bool
     pause_s: float = 0.0
-    """How long to wait before it."""
+    """Delay before the attempt."""
     reason: str = ""
-    """Bound that forbids it."""
+    """Limit that forbids the attempt; empty when it is allowed."""
 
 
 class RetryBudget:
-    """Bounds the retries of a process to a ratio of its first attempts.
+    """Limits the retries of a process to a ratio of its first attempts.
 
-    Each process keeps its own bucket with the ratio of the bundle, so the ratio holds for the
-    fleet as a sum, without any message.
+    Each process has its own token bucket with the ratio of the bundle, so the ratio holds for the
+    whole fleet without communication.
 
     Parameters
     ----------
     burst
-        Retries that may be saved up.
+        Maximum number of accumulated retries.
 
     Notes
     -----
@@ -67,19 +67,19 @@
 
     @property
     def level(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries currently available."""
         return self._level
 
     def on_first_attempt(self, ratio: float) -> None:
-        """Add what one first attempt earns."""
+        """Credit the budget for a first attempt."""
         self._level = min(self._burst, self._level + ratio)
 
     def has_retry(self) -> bool:
-        """Return whether a retry may be taken."""
+        """Return whether a retry is available."""
         return self._level >= 1.0
 
     def take_retry(self) -> None:
-        """Take one retry out."""
+        """Consume one retry."""
         self._level -= 1.0
 
 
@@ -91,20 +91,20 @@
     server_hint_s: float,
     random: Random,
 ) -> RetryDecision:
-    """Decide on an attempt after one that failed, and take it from the budget.
+    """Decide whether to retry a failed attempt, and charge an allowed retry to the budget.
 
     Parameters
     ----------
     rules
-        Bounds of the request.
+        Retry limits of the request.
     attempted
-        What the request has used up.
+        Resources used by the request so far.
     budget
-        Retries left to the process.
+        Retry budget of the process.
     time_left_s
-        Seconds until the time limit.
+        Time until the time limit of the request.
     server_hint_s
-        Pause that the server asked for; 0 when it asked for none.
+        Delay requested by the server; 0 for none.
     random
         Source of the jitter.
     """
@@ -116,7 +116,7 @@
         return RetryDecision(False, reason="spent tokens")
     pause_s = backoff_s(rules, attempted.attempts - 1, server_hint_s, random)
     if pause_s >= time_left_s:
-        # Sleeping past the limit would hold back a request that is already lost.
+        # Sleeping past the time limit would only delay the failure of the request.
         return RetryDecision(False, reason="time left")
     if not budget.has_retry():
         return RetryDecision(False, reason="retry ratio")
@@ -125,10 +125,10 @@
 
 
 def backoff_s(rules: RetryRules, retry: int, server_hint_s: float, random: Random) -> float:
-    """Return the pause before a retry, counted from 0.
+    """Return the delay before a retry; retries are counted from 0.
 
-    The server's hint comes first: the jitter is added to it, so that callers told the same moment
-    don't all come at it.
+    The jitter is added to the delay requested by the server, so that callers with the same hint do
+    not retry simultaneously.
 
     Notes
     -----
--- a/packages/serving/src/sassafrastally/serving/routing.py
+++ b/packages/serving/src/sassafrastally/serving/routing.py
@@ -1,4 +1,4 @@
-"""Routing in the entry: in which order sidecars are asked for a reservation."""
+"""Interface of the routing policies, which order the sidecars for a reservation."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class RouteRequest(NamedTuple):
-    """What routing looks at in a request."""
+    """Properties of a request that routing uses."""
 
     request_id: str
     customer: str
     target: str
-    """Model or plain service."""
+    """Name of a model or plain service."""
     prompt_tokens: int
     output_tokens: int
     prefix_hashes: tuple[int, ...]
-    """Rolling hashes of the prompt's leading blocks, shortest prefix first."""
+    """Rolling hashes of the leading blocks of the prompt, shortest prefix first."""
     time_limit_s: float
 
 
 class Candidate(NamedTuple):
-    """A sidecar that serves the target, as the entry sees it through lagging reports."""
+    """A sidecar that serves the target, as known to the entry from delayed reports."""
 
     vm: str
     data_centre: str
@@ -38,24 +38,24 @@
     total_blocks: int
     block_tokens: int
     prefill_tokens_per_s: float
-    """Learned rate; 0 when not known yet."""
+    """Learned rate; 0 when unknown."""
     first_token_s: float
-    """Predicted first token for a request of this length, by the last report."""
+    """Predicted time to first token for a request of this length, from the last report."""
     report_age_s: float
     in_flight: int
-    """Attempts of this entry itself on the sidecar that the report can't know yet."""
+    """In-flight attempts of this entry on the sidecar that its last report cannot include yet."""
     in_flight_tokens: int
     max_wait_s: float = 0.0
-    """Set by the policy: how long other work there may delay the first token; 0 is any time."""
+    """Maximum delay of the first token by other work, set by the policy; 0 for no limit."""
 
 
 class RoutingPolicy(Protocol):
-    """Orders candidates."""
+    """Selects and orders candidates."""
 
     def choose(self, request: RouteRequest, candidates: Sequence[Candidate]) -> list[Candidate]:
-        """Return the candidates to ask, best first; few, not all."""
+        """Return the few best candidates to try, best first."""
         ...
 
 
 ROUTING_POLICIES: Registry[Callable[[Random], RoutingPolicy]] = Registry("routing policy")
-"""Makers of routing policies by name: ``round-robin``, ``least-loaded``, ``prefix-affinity``."""
+"""Factories of routing policies by name: ``round-robin``, ``least-loaded``, ``prefix-affinity``."""
--- a/packages/serving/src/sassafrastally/serving/scheduling.py
+++ b/packages/serving/src/sassafrastally/serving/scheduling.py
@@ -1,4 +1,4 @@
-"""Interface of what a sidecar asks its scheduler: what starts next and when it would finish."""
+"""Interface of the schedulers, which order the work of a sidecar and predict its completion."""
 
 from __future__ import annotations
 
@@ -13,89 +13,89 @@
 
 
 class Work(NamedTuple):
-    """One attempt that waits on a sidecar or runs on its engine."""
+    """One attempt that is queued at a sidecar or runs on its engine."""
 
     request_id: str
     attempt: int
     customer: str
     prompt_tokens: int
     cached_tokens: int
-    """Guess of the prompt's tokens that the engine has in its prefix cache."""
+    """Estimated number of prompt tokens in the prefix cache of the engine."""
     output_tokens: int
-    """Most output tokens."""
+    """Maximum number of output tokens."""
     priority: int
-    """Priority of the customer; lower goes first."""
+    """Priority of the customer; lower values run first."""
     arrived_s: float
-    """When it came to this sidecar, on its monotonic clock."""
+    """Arrival time at this sidecar, on its monotonic clock."""
     deadline_s: float
-    """When its time limit ends, on this sidecar's monotonic clock."""
+    """End of the time limit, on the monotonic clock of this sidecar."""
 
 
 class Running(NamedTuple):
-    """Work on the engine."""
+    """Work that runs on the engine."""
 
     work: Work
     started_s: float
     first_token_s: float | None
-    """When its first token came; ``None`` before."""
+    """Time of the first token; ``None`` before it."""
     shown_tokens: int
 
 
 class EngineState(NamedTuple):
-    """What the sidecar knows of its engine at a moment."""
+    """State of an engine at one time, as known to the sidecar."""
 
     now_s: float
     block_tokens: int
     total_blocks: int
     free_blocks: int
-    """By the sidecar's own ledger, not by the engine's lagging report."""
+    """From the sidecar's own accounting, not from the delayed report of the engine."""
     running: tuple[Running, ...]
 
 
 class Prediction(NamedTuple):
-    """When work would be done, counted from now."""
+    """Predicted times of some work, relative to the current time."""
 
     first_token_s: float
     total_s: float
 
 
 class CostModel(Protocol):
-    """What prefill and decode cost on one engine, learned from what was seen."""
+    """Durations of prefill and decode on one engine, learned from observations."""
 
     def observe_first_token(self, uncached_tokens: int, elapsed_s: float, running: int) -> None:
-        """Take in one prefill: from start on the engine to the first token."""
+        """Add a prefill sample, measured from the start on the engine to the first token."""
         ...
 
     def observe_decode(self, tokens: int, elapsed_s: float, running: int) -> None:
-        """Take in a stretch of decoding after the first token."""
+        """Add a decode sample of some tokens after the first one."""
         ...
 
     def prefill_s(self, uncached_tokens: int) -> float:
-        """Return how long a prefill takes on the engine alone."""
+        """Return the duration of a prefill on an otherwise idle engine."""
         ...
 
     def token_s(self, running: int) -> float:
-        """Return the time between tokens with so many streams in the batch."""
+        """Return the time between tokens with the given number of streams in the batch."""
         ...
 
 
 class Scheduler(Protocol):
-    """Order of work on one engine."""
+    """Orders the work on one engine."""
 
     cost: CostModel
 
     def pick(self, waiting: Sequence[Work], state: EngineState) -> Work | None:
-        """Return the work to hand to the engine now, ``None`` to wait."""
+        """Return the work to start on the engine now, or ``None`` to wait."""
         ...
 
     def engine_priority(self, work: Work, now_s: float) -> int:
-        """Return the priority for the engine; lower runs first."""
+        """Return the priority for the engine; lower values run first."""
         ...
 
     def predict(self, work: Work, waiting: Sequence[Work], state: EngineState) -> Prediction:
-        """Return when new work would be served behind what waits and runs."""
+        """Predict when new work would be served after the waiting and running work."""
         ...
 
 
 SCHEDULERS: Registry[Callable[[Weights], Scheduler]] = Registry("scheduler")
-"""Makers of schedulers by name: ``naive`` (first come, first served) and ``lanes``."""
+"""Factories of schedulers by name: ``naive`` (first come, first served) and ``lanes``."""
--- a/packages/serving/src/sassafrastally/serving/slice_wire.py
+++ b/packages/serving/src/sassafrastally/serving/slice_wire.py
@@ -1,4 +1,4 @@
-"""Slices as messages between entries."""
+"""Conversion of slice demands and grants to and from messages between entries."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def encode_demands(demands: Sequence[SliceDemand]) -> SliceRequest:
-    """Return the message of some questions."""
+    """Return the message of some demands."""
     return SliceRequest(
         customers=tuple(demand.customer for demand in demands),
         open_requests=tuple(demand.open_requests for demand in demands),
@@ -23,7 +23,7 @@
 
 
 def decode_demands(request: SliceRequest) -> list[SliceDemand]:
-    """Return the questions of a message; lists of unequal length are cut to the shortest."""
+    """Return the demands of a message; lists of unequal length are truncated to the shortest."""
     rows = zip(
         request.customers,
         request.open_requests,
@@ -48,7 +48,7 @@
 
 
 def decode_grants(reply: SliceReply) -> list[SliceGrant]:
-    """Return the grants of a message; lists of unequal length are cut to the shortest."""
+    """Return the grants of a message; lists of unequal length are truncated to the shortest."""
     rows = zip(
         reply.customers,
         reply.requests,
--- a/packages/serving/src/sassafrastally/serving/slices.py
+++ b/packages/serving/src/sassafrastally/serving/slices.py
@@ -1,8 +1,8 @@
-"""Slices of a customer's limits: what its home has granted to each entry.
+"""Slices of a customer's limits that its home grants to the entries.
 
-The home of a customer counts the requests that may be open and holds the customer's token bucket.
-Entries hold slices of both. A slice lapses on the clock of the entry that uses it; the home
-counts it for longer, so a slice is never granted twice by one home.
+The home of a customer counts the permitted open requests and keeps the customer's token bucket.
+Entries hold slices of both. A slice expires on the clock of the entry that uses it. The home counts
+it for longer, so that one home never grants the same slice twice.
 """
 
 from __future__ import annotations
@@ -13,58 +13,59 @@
     from sassafrastally.control.bundle import Customer
 
 SLICE_TTL_S = 15.0
-"""How long a slice of the open requests may be used after it was asked for."""
+"""How long a slice of the open requests may be used after it was requested."""
 
 HOME_MARGIN_S = 1.0
-"""How much longer the home counts it; covers the time of the messages."""
+"""How much longer the home counts a slice; covers the message latency."""
 
 PREFETCH_LIMIT_SHARE = 0.5
-"""Part of a limit up to which entries get more than they need at the moment: it saves messages
-while the limit is far away, and refuses nobody on account of what others only set aside."""
+"""Share of a limit up to which entries are granted more than they currently need. This saves
+messages while usage is far below the limit, and no request is refused because of slices that other
+entries hold unused."""
 
 PREFETCH_FACTOR = 8
-"""How many times what an entry needs it gets on top, where there is enough to spare."""
+"""Maximum extra grant beyond an entry's needs, as a multiple of these needs."""
 
 
 class SliceDemand(NamedTuple):
-    """What one entry reports and asks for one customer."""
+    """Usage that one entry reports and demands for one customer."""
 
     customer: str
     open_requests: int
     want_requests: int
-    """Requests open or waiting to be admitted."""
+    """Number of requests that are open or waiting for admission."""
     want_tokens: int
-    """Tokens needed beyond those that the entry has."""
+    """Tokens needed in addition to those that the entry holds."""
     returned_tokens: int
-    """Granted tokens that were not used in time."""
+    """Granted tokens that expired unused."""
 
 
 class SliceGrant(NamedTuple):
-    """What the home grants an entry for one customer."""
+    """Slice that the home grants an entry for one customer."""
 
     customer: str
     requests: int
-    """Requests that the entry may have open until the slice lapses."""
+    """Maximum number of open requests at the entry until the slice expires."""
     tokens: int
-    """Tokens that it may use beyond those it has."""
+    """Tokens granted in addition to those that the entry holds."""
     held_requests: int
-    """Requests granted to all entries, this one included."""
+    """Number of requests granted to all entries, including this one."""
     retry_after_s: float
-    """After how many seconds the tokens asked for would be there; 0 when they were granted."""
+    """Seconds until the demanded tokens would be available; 0 when they were granted."""
 
 
 class TokenBucket:
-    """Token bucket that lets a request larger than the burst pass when it is full.
+    """Token bucket that admits a request larger than the burst when it is full.
 
-    It then goes below zero and pays the rest off before anything else passes: a prompt of a
-    million tokens isn't turned away for good by a burst of a hundred thousand.
+    The balance then becomes negative, and nothing else is admitted until it has recovered. Without
+    this, a burst of 100,000 tokens would permanently refuse a prompt of a million tokens.
 
     Parameters
     ----------
     rate_per_s
-        Tokens that come back each second.
+        Refill rate in tokens per second.
     burst_tokens
-        Tokens that it holds at most; it starts full.
+        Capacity of the bucket, which starts full.
     now_s
         Monotonic time.
     """
@@ -76,14 +77,14 @@
         self._updated_s = now_s
 
     def resize(self, rate_per_s: float, burst_tokens: float, now_s: float) -> None:
-        """Take over changed limits."""
+        """Apply changed limits."""
         self._refill(now_s)
         self.rate_per_s = rate_per_s
         self.burst_tokens = burst_tokens
         self.balance = min(self.balance, burst_tokens)
 
     def take(self, tokens: float, now_s: float) -> float:
-        """Take tokens; return 0, or the seconds until they could be taken when they weren't."""
+        """Take tokens and return 0; if too few, return the seconds until they are available."""
         self._refill(now_s)
         needed = min(tokens, self.burst_tokens)
         if self.balance >= needed:
@@ -92,12 +93,12 @@
         return (needed - self.balance) / self.rate_per_s
 
     def is_full(self, now_s: float) -> bool:
-        """Return whether it is as full as a new one."""
+        """Return whether the bucket is full."""
         self._refill(now_s)
         return self.balance >= self.burst_tokens
 
     def give_back(self, tokens: float) -> None:
-        """Put unused tokens back."""
+        """Return unused tokens to the bucket."""
         self.balance = min(self.balance + tokens, self.burst_tokens)
 
     def _refill(self, now_s: float) -> None:
@@ -107,7 +108,7 @@
 
 
 def bucket_capacity(customer: Customer) -> float:
-    """Return how many tokens a customer's bucket holds: a second's worth at least."""
+    """Return the capacity of a customer's bucket, at least the tokens of one second."""
     return max(float(customer.burst_tokens), customer.rate_tokens_per_s)
 
 
@@ -117,7 +118,7 @@
 
 
 class CustomerSlices:
-    """What the home of one customer has granted.
+    """Slices granted by the home of one customer.
 
     Parameters
     ----------
@@ -133,21 +134,21 @@
         self._customer = customer
 
     def is_idle(self, now_s: float) -> bool:
-        """Whether no entry holds a slice and the bucket is full, so that it can be forgotten."""
+        """Return whether this object can be dropped: no slice is held and the bucket is full."""
         self._drop_expired(now_s)
         return not self._held and self._bucket.is_full(now_s)
 
     def update(self, customer: Customer, now_s: float) -> None:
-        """Take over the limits of a new bundle."""
+        """Apply the limits of a new bundle."""
         if customer != self._customer:
             self._customer = customer
             self._bucket.resize(customer.rate_tokens_per_s, bucket_capacity(customer), now_s)
 
     def grant(self, entry: str, demand: SliceDemand, now_s: float) -> SliceGrant:
-        """Return what an entry gets, and count it as held."""
+        """Grant a slice to an entry and record it as held."""
         self._drop_expired(now_s)
         requests = self._grant_requests(entry, demand)
-        # Open requests count as held even beyond what was granted: they run to their end.
+        # Open requests count as held even beyond the grant, as they run to completion.
         held = max(requests, demand.open_requests)
         self._held.pop(entry, None)
         if held:
@@ -180,6 +181,6 @@
         return demand.want_tokens + extra, 0.0
 
     def _drop_expired(self, now_s: float) -> None:
-        lapsed = [name for name, held_slice in self._held.items() if held_slice.until_s <= now_s]
-        for name in lapsed:
+        expired = [name for name, held_slice in self._held.items() if held_slice.until_s <= now_s]
+        for name in expired:
             del self._held[name]
--- a/packages/serving/src/sassafrastally/serving/spans.py
+++ b/packages/serving/src/sassafrastally/serving/spans.py
@@ -1,7 +1,7 @@
-"""Spans: one prompt over several engines, each of which computes a segment of it.
+"""Spans: prompts that are distributed over several engines, each computing one segment.
 
-Each engine imports the KV cache of the segments before its own, computes its segment and exports
-it; the last one, the leader, generates the answer.
+Each engine imports the KV cache of the preceding segments, computes its own segment and exports it.
+The last engine, the leader, generates the answer.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
     from collections.abc import Sequence
 
 IMPORT_BLOCKS_PER_BLOCK = 64
-"""Blocks of an import that cost the importing engine one block."""
+"""Number of imported blocks that take up one block of the importing engine."""
 
 SPAN_MEMORY_SHARE = 0.875
-"""Most of an engine's memory that spans get. The rest is for other work: with none left, a single
-span would stop all short requests on its engines for as long as it lasts."""
+"""Maximum share of an engine's memory for spans. The rest is reserved for other work: without it, a
+single span would block all short requests on its engines while it runs."""
 
-_FILL_STEPS = 24
+_BISECTION_STEPS = 24
 
 
 class MemberEngine(NamedTuple):
-    """An engine that could hold a segment, as the entry sees it through lagging reports."""
+    """An engine that could hold a segment, as known to the entry from delayed reports."""
 
     vm: str
     is_near: bool
@@ -35,21 +35,21 @@
 
     @property
     def span_blocks(self) -> int:
-        """Most blocks that spans get here."""
+        """Maximum number of blocks for spans on this engine."""
         return span_blocks(self.total_blocks)
 
 
 class Segment(NamedTuple):
-    """The part of a prompt that one engine computes."""
+    """Part of a prompt that one engine computes."""
 
     vm: str
     tokens: int
     end_tokens: int
-    """Tokens of the prompt up to and with the segment."""
+    """Number of prompt tokens up to and including the segment."""
 
 
 class SegmentDone(NamedTuple):
-    """What a sidecar tells of a segment that is computed and exported."""
+    """Announcement of a computed and exported segment by a sidecar."""
 
     handle: str
     tokens: int
@@ -57,32 +57,32 @@
 
 
 def span_blocks(total_blocks: int) -> int:
-    """Return the most blocks of an engine that spans get."""
+    """Return the maximum number of blocks for spans on an engine."""
     return int(total_blocks * SPAN_MEMORY_SHARE)
 
 
 def import_blocks(blocks: int) -> int:
-    """Return what an import of so many blocks costs the importing engine."""
+    """Return the blocks that an import of the given size takes up on the importing engine."""
     return -(-blocks // IMPORT_BLOCKS_PER_BLOCK)
 
 
 def blocks_of(tokens: int, block_tokens: int) -> int:
-    """Return the blocks that so many tokens take."""
+    """Return the number of blocks for the given number of tokens."""
     return -(-tokens // max(1, block_tokens))
 
 
 def handle_of(request_id: str, attempt: int) -> str:
-    """Return the name of a segment's export; no two attempts share one."""
+    """Return the export handle of a segment, unique per attempt."""
     return f"span-{request_id}-{attempt}"
 
 
 def encode_done(done: SegmentDone) -> bytes:
-    """Return the bytes that announce a finished segment."""
+    """Encode the announcement of a finished segment."""
     return json.dumps(done._asdict()).encode()
 
 
 def decode_done(data: bytes) -> SegmentDone:
-    """Read the announcement of a finished segment; raises ValueError when it is none."""
+    """Decode the announcement of a finished segment; raises `ValueError` when it is invalid."""
     try:
         return SegmentDone(**json.loads(data))
     except TypeError as cause:
@@ -90,54 +90,53 @@
 
 
 def held_tokens(engines: Sequence[MemberEngine], output_tokens: int) -> int:
-    """Return the longest prompt that the engines hold together, 0 for none."""
-    left = 0
-    for segment in _fill(_in_order(engines), 1.0, None, output_tokens):
-        left += segment
-    return left
+    """Return the maximum prompt length that the engines can hold together, 0 for none."""
+    total = 0
+    for tokens in _segment_sizes(_in_order(engines), 1.0, None, output_tokens):
+        total += tokens
+    return total
 
 
 def plan_span(
     engines: Sequence[MemberEngine], prompt_tokens: int, output_tokens: int
 ) -> list[Segment] | None:
-    """Return the segments of a prompt on the least set of engines that holds it.
+    """Return the segments of a prompt on the smallest set of engines that can hold it.
 
     Parameters
     ----------
     engines
-        All that serve the model.
+        All engines that serve the model.
     prompt_tokens
         Length of the prompt.
     output_tokens
-        Longest answer; the last engine holds it too.
+        Maximum length of the answer, which the last engine holds too.
 
     Returns
     -------
     list[Segment] | None
-        In prompt order, which is the order of the VM names: whoever reserves several engines
-        takes them in the same order as everybody else. ``None`` when all of them together can't
-        hold it.
+        In prompt order, which is the order of the VM names, so that all entries reserve engines in
+        the same order. ``None`` when all engines together cannot hold the prompt.
     """
     members = _choose(engines, prompt_tokens, output_tokens)
     if members is None:
         return None
     ordered = _in_order(members)
     low, high = 0.0, 1.0
-    for _ in range(_FILL_STEPS):
-        # Spread evenly: a share of each engine stays free beside the span, instead of none on
-        # all but the last.
+    for _ in range(_BISECTION_STEPS):
+        # Distributes the prompt evenly, so that a share of each engine stays free. Otherwise all
+        # engines except the last would be full.
         share = (low + high) / 2
-        if sum(_fill(ordered, share, prompt_tokens, output_tokens)) >= prompt_tokens:
+        if sum(_segment_sizes(ordered, share, prompt_tokens, output_tokens)) >= prompt_tokens:
             high = share
         else:
             low = share
-    filled = _fill(ordered, high, prompt_tokens, output_tokens)
-    if not filled[-1] and len(filled) > 1:
-        # The leader computes at least the end of the prompt, from which the answer follows.
-        filled[-1] = min(ordered[-1].block_tokens, filled[-2])
-        filled[-2] -= filled[-1]
+    sizes = _segment_sizes(ordered, high, prompt_tokens, output_tokens)
+    if not sizes[-1] and len(sizes) > 1:
+        # The leader must compute at least the end of the prompt to generate the answer.
+        sizes[-1] = min(ordered[-1].block_tokens, sizes[-2])
+        sizes[-2] -= sizes[-1]
     end, segments = 0, []
-    for engine, tokens in zip(ordered, filled, strict=True):
+    for engine, tokens in zip(ordered, sizes, strict=True):
         end += tokens
         segments.append(Segment(engine.vm, tokens, end))
     return [segment for segment in segments if segment.tokens]
@@ -146,7 +145,7 @@
 def _choose(
     engines: Sequence[MemberEngine], prompt_tokens: int, output_tokens: int
 ) -> list[MemberEngine] | None:
-    """Return as few engines as can hold the prompt; of these sets, the most preferred one."""
+    """Return the preferred one of the smallest sets of engines that can hold the prompt."""
     largest = sorted(engines, key=lambda engine: (-_capacity(engine), engine.vm))
     size = next(
         (
@@ -170,9 +169,9 @@
 
 
 def _preference(engine: MemberEngine) -> tuple[bool, bool, int, str]:
-    """Order engines: memory free for a span first, then the near ones, then the idle ones."""
-    is_taken = engine.free_blocks < engine.span_blocks
-    return is_taken, not engine.is_near, engine.queued_tokens, engine.vm
+    """Return a sort key: engines with enough free memory first, then near ones, then idle ones."""
+    is_occupied = engine.free_blocks < engine.span_blocks
+    return is_occupied, not engine.is_near, engine.queued_tokens, engine.vm
 
 
 def _capacity(engine: MemberEngine) -> int:
@@ -183,17 +182,17 @@
     return sorted(engines, key=lambda engine: engine.vm)
 
 
-def _fill(
+def _segment_sizes(
     ordered: Sequence[MemberEngine],
     share: float,
     prompt_tokens: int | None,
     output_tokens: int,
 ) -> list[int]:
-    """Return the tokens of each segment when each engine gives a share of what it may.
+    """Return the tokens per segment when each engine provides a share of its span memory.
 
-    A segment ends with a block, so that no engine holds a block that is half another's.
+    Segments end at block boundaries, so that no block is split between engines.
     """
-    left, imported, filled = prompt_tokens, 0, []
+    remaining, imported, sizes = prompt_tokens, 0, []
     for engine in ordered:
         is_last = engine is ordered[-1]
         room = engine.span_blocks - imported
@@ -201,9 +200,9 @@
             room -= blocks_of(output_tokens, engine.block_tokens)
         blocks = max(0, min(room, int(engine.span_blocks * share)))
         tokens = blocks * engine.block_tokens
-        if left is not None:
-            tokens = min(tokens, left)
-            left -= tokens
-        filled.append(tokens)
+        if remaining is not None:
+            tokens = min(tokens, remaining)
+            remaining -= tokens
+        sizes.append(tokens)
         imported += import_blocks(blocks_of(tokens, engine.block_tokens))
-    return filled
+    return sizes
