--- a/packages/serving/tests/test_claim_histories.py
+++ b/packages/serving/tests/test_claim_histories.py
@@ -1,4 +1,4 @@
-"""Differential test of claims: histories with faults against a map that is obviously right."""
+"""Differential test of claims: random histories with faults against a reference model."""
 
 from __future__ import annotations
 
--- a/packages/serving/tests/test_claim_shard.py
+++ b/packages/serving/tests/test_claim_shard.py
@@ -1,4 +1,4 @@
-"""Tests of the encoded forms of claims and of the messages that carry them."""
+"""Tests of the encoding of claims and of the messages that carry them."""
 
 from __future__ import annotations
 
@@ -61,16 +61,16 @@
         random = Random(2)
         assert all(block.find(random.randbytes(16)) is None for _ in range(300))
 
-    def test_later_claim_of_a_key_hides_the_earlier(self):
+    def test_later_claim_of_a_key_takes_precedence(self):
         first, second = CLAIMS[0], CLAIMS[1]._replace(key_hash=CLAIMS[0].key_hash)
         block = ClaimBlock(encode_block([first, second]))
         assert (len(block), block.find(first.key_hash)) == (1, second)
 
-    def test_largest_segment_is_far_below_the_bound_of_a_value(self):
+    def test_largest_segment_is_far_below_the_value_limit(self):
         size_bytes = len(encode_block(make_claims(SEGMENT_CLAIMS + HEAD_CLAIMS)))
         assert size_bytes < KV_VALUE_BYTES / 3
 
-    def test_broken_bytes_are_noticed(self):
+    def test_corrupt_data_is_rejected(self):
         data = encode_head(Head(9, 8, 4, (ClosedSegment(1, 2, 3),), tuple(CLAIMS)))
         for length in range(0, len(data), 7):
             with pytest.raises(BadClaimValue):
@@ -95,11 +95,11 @@
             ShardRequest(ClaimOperation.REPLACE, CLAIMS[0], CLAIMS[1].placement),
         ],
     )
-    def test_questions_round_trip(self, shard_request):
+    def test_requests_round_trip(self, shard_request):
         assert decode_request(_carried(encode_request(shard_request, 1.5))) == shard_request
 
     @pytest.mark.parametrize("state", list(ClaimState))
-    def test_answers_round_trip(self, state):
+    def test_replies_round_trip(self, state):
         result = ClaimResult(state, CLAIMS[0].placement, 2.5)
         assert decode_reply(_carried(encode_reply(result))) == result
 
@@ -115,12 +115,12 @@
             {"operation": "replace"},
         ],
     )
-    def test_out_of_bounds(self, change):
+    def test_invalid_values_are_rejected(self, change):
         good = encode_request(ShardRequest(ClaimOperation.CLAIM, CLAIMS[0]), 1.0)
         assert decode_request(good) is not None
         assert decode_request(good._replace(**change)) is None
 
-    def test_grant_without_a_placement_is_no_answer(self):
+    def test_grant_without_a_placement_is_invalid(self):
         assert decode_reply(encode_reply(ClaimResult(ClaimState.GRANTED))) is None
 
 
--- a/packages/serving/tests/test_claims.py
+++ b/packages/serving/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of the claims of idempotency keys, over entries that share a KV service."""
+"""Tests of idempotency key claims across entries that share a KV service."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @pytest.fixture
 async def claims(nursery):
     claims = await ClaimFleet(nursery).start()
-    await claims.claim("entry-1", 0, key="first")  # Lets the layout be known.
+    await claims.claim("entry-1", 0, key="first")  # Loads the layout.
     return claims
 
 
@@ -36,11 +36,11 @@
         assert first == ClaimResult(ClaimState.GRANTED, placement(1))
         assert second == ClaimResult(ClaimState.HELD, placement(1))
 
-    async def test_same_key_at_the_same_moment(self, claims, autojump_clock):
-        """A builder's phone sends a booking twice and the balancer spreads the two.
+    async def test_concurrent_claims_of_one_key(self, claims, autojump_clock):
+        """Two copies of a request must not both run.
 
-        Two entries reserve on two sidecars and claim the key at the same moment. If both were
-        granted, two crews would go to one house.
+        A load balancer sends them to different entries, which reserve on different sidecars and
+        claim the key concurrently.
         """
         results = await claims.together(
             claims.claim(name, number) for number, name in enumerate(NAMES)
@@ -49,11 +49,11 @@
         assert len(granted) == 1
         assert {result.placement for result in results} == {granted[0].placement}
 
-    async def test_repeat_after_the_first_entry_died(self, claims, autojump_clock):
-        """The caller's entry is lost with its VM after the claim; the caller sends again.
+    async def test_retry_after_the_first_entry_is_lost(self, claims, autojump_clock):
+        """A retry finds the first run after the caller's entry is lost with its VM.
 
-        The repeat comes through an entry that never heard of the first, and has to learn where
-        the request runs from the KV service alone.
+        The retry goes through an entry without any local state of the first request, so the KV
+        service is the only source of its placement.
         """
         home = claims.home_of_key()
         await claims.claim(home, 1)
@@ -62,13 +62,13 @@
         result = await claims.claim(others[0], 2)
         assert result == ClaimResult(ClaimState.HELD, placement(1))
 
-    async def test_other_body(self, claims, autojump_clock):
-        """A clerk's program uses a key again for another declaration: an error, not a repeat."""
+    async def test_key_reused_with_another_body(self, claims, autojump_clock):
+        """A key used again with a different body is an error, not a retry."""
         await claims.claim("entry-1", 1)
         result = await claims.claim("entry-2", 2, body=b"another")
         assert result.state is ClaimState.KEY_REUSED
 
-    async def test_other_customer_has_keys_of_its_own(self, claims, autojump_clock):
+    async def test_keys_are_separate_per_customer(self, claims, autojump_clock):
         await claims.claim("entry-1", 1)
         result = await claims.services["entry-1"].claim("sondrio", KEY, BODY, placement(2), 5.0)
         assert result.is_granted
@@ -80,11 +80,11 @@
         assert (await claims.lookup("entry-2")) == ClaimResult(ClaimState.HELD, placement(1))
         assert claims.model.counts["txn"] == writes
 
-    async def test_entries_with_other_settings_share_one_layout(self, nursery, autojump_clock):
-        """Operators raise the number of shards and restart the entries one by one.
+    async def test_entries_with_different_settings_share_one_layout(self, nursery, autojump_clock):
+        """A rolling restart with a changed number of shards must not grant a key twice.
 
-        Were each entry to count by its own settings, a key would have two shards for a while and
-        could be granted in both.
+        If each entry used its own setting, a key would temporarily map to two shards and could be
+        granted in both.
         """
         claims = ClaimFleet(nursery)
         await claims.start("entry-1")
@@ -98,9 +98,11 @@
 
 class TestReplace:
     async def test_only_the_proved_placement_is_replaced(self, claims, autojump_clock):
-        """Two repeats find the first run void at the same moment, each with a sidecar reserved.
+        """Only one of two concurrent replacements of the same void placement is granted.
 
-        One may take the key. The other proved something of a placement that no longer holds it.
+        Two retries prove the first run void at the same time, each with its own reservation. After
+        the first replacement, the proof of the second refers to a placement that no longer holds
+        the key.
         """
         await claims.claim("entry-1", 1)
         results = await claims.together(
@@ -125,12 +127,13 @@
         assert (await claims.claim("entry-2", 9)).placement == placement(2)
 
 
-class TestLostAnswers:
-    async def test_answer_lost_after_the_write(self, claims, autojump_clock):
-        """The KV service writes the claim and its answer is lost.
+class TestLostResponses:
+    async def test_response_lost_after_the_write(self, claims, autojump_clock):
+        """A lost response of the KV service is neither a failure nor a success.
 
-        Taken for a failure, the entry would find the key held, by itself, and would wait for a run
-        that it never commits; taken for a success, a write that was lost would let two run.
+        Treated as a failure, the entry would find the key held by itself and wait for a run that it
+        never commits. Treated as a success, a write that did not take effect would let two runs
+        start.
         """
         claims.model.set_faults(KvFaults(lose_answers=1))
         assert (await claims.claim("entry-1", 1)).is_granted
@@ -142,10 +145,10 @@
         assert (await claims.claim("entry-1", 1)).is_granted
         assert (await claims.claim("entry-2", 2)).placement == placement(1)
 
-    async def test_home_answer_lost(self, claims, autojump_clock):
-        """The home writes a forwarded claim and the link is cut before its answer.
+    async def test_home_reply_lost(self, claims, autojump_clock):
+        """The link is cut after the home wrote a forwarded claim and before its reply.
 
-        The entry goes on by itself and must find that it already holds the key.
+        The entry then writes the claim itself and must detect that it already holds the key.
         """
         claims.fleet.lose_answers = 1
         assert (await claims.claim(claims.stranger_to_key(), 1)).is_granted
@@ -154,7 +157,7 @@
 
 class TestHomes:
     async def test_two_homes_at_once(self, claims, autojump_clock):
-        """The VM list lags: each entry takes itself for the home of every shard."""
+        """With inconsistent VM lists, each entry considers itself the home of every shard."""
         for name in NAMES:
             claims.view(name, name)
         for number in range(0, 60, 3):
@@ -165,11 +168,11 @@
             assert sum(result.is_granted for result in results) == 1
             assert len({result.placement for result in results}) == 1
 
-    async def test_frozen_home_woken_late(self, claims, autojump_clock):
-        """A home stops for a minute with a claim in its inbox, and then goes on with it.
+    async def test_home_resumes_after_a_pause(self, claims, autojump_clock):
+        """A paused home resumes with an outdated forwarded claim.
 
-        Meanwhile the entry wrote by itself, was told that its run is void and the repeat took
-        the key. The home's late write, against what it knew, must not bring the old claim back.
+        During the pause the entry wrote the claim itself, its run was proved void and a retry
+        replaced the claim. The late write of the home must not restore the old claim.
         """
         home, other = claims.home_of_key(), claims.stranger_to_key()
         await claims.claim(home, 8, key="warm")
@@ -181,7 +184,7 @@
         await trio.sleep(5)
         assert (await claims.claim(home, 3)).placement == placement(2)
 
-    async def test_frozen_home_is_waited_for_once(self, claims, autojump_clock):
+    async def test_unresponsive_home_delays_only_one_claim(self, claims, autojump_clock):
         home, other = claims.home_of_key(), claims.stranger_to_key()
         claims.fleet.freeze(home)
         await claims.claim(other, 1)
@@ -189,7 +192,7 @@
         await claims.claim(other, 2)
         assert trio.current_time() - started_s < 0.1
 
-    async def test_home_out_of_reach(self, claims, autojump_clock):
+    async def test_home_unreachable(self, claims, autojump_clock):
         home, other = claims.home_of_key(), claims.stranger_to_key()
         claims.fleet.cuts.add(frozenset((home, other)))
         assert (await claims.claim(other, 1)).is_granted
@@ -198,7 +201,7 @@
 
 class TestOutage:
     async def test_down(self, claims, autojump_clock):
-        """The KV service is down: the caller is told at once, with when to come back."""
+        """While the KV service is down, claims are refused immediately with a retry delay."""
         await claims.claim("entry-1", 8, key="warm")
         claims.model.set_faults(KvFaults(down=True))
         started_s = trio.current_time()
@@ -211,7 +214,7 @@
         assert (await claims.claim("entry-2", 2)).is_granted
 
     async def test_slow(self, claims, autojump_clock):
-        """The KV service takes ten seconds a call: the wait ends with the caller's time limit."""
+        """With KV calls of ten seconds, the wait ends at the time limit of the caller."""
         await claims.claim("entry-1", 8, key="warm")
         claims.model.set_faults(KvFaults(delay_s=10.0))
         started_s = trio.current_time()
@@ -225,12 +228,12 @@
         await claims.start()
         with pytest.raises(Refusal):
             await claims.claim("entry-1", 1)
-        # Not "absent": nothing is known, and absent would be taken for a proof of not run.
+        # Must not return "absent", which would count as proof that the request has not run.
         with pytest.raises(Refusal):
             await claims.lookup("entry-1")
 
-    async def test_broken_value_grants_nothing(self, nursery, autojump_clock):
-        """Somebody overwrites a shard by hand: its keys are refused, not granted a second time."""
+    async def test_corrupt_value_grants_nothing(self, nursery, autojump_clock):
+        """Keys of a manually overwritten shard are refused, not granted a second time."""
         claims = await ClaimFleet(nursery, ClaimSettings(shards=1)).start()
         await claims.claim("entry-1", 1)
         claims.break_heads()
@@ -241,7 +244,7 @@
             await claims.claim("entry-2", 2)
 
     async def test_missing_tail_grants_nothing(self, nursery, small_segments, autojump_clock):
-        """Somebody deletes a segment by hand: the keys in it must not become free."""
+        """The keys of a manually deleted segment must not become available again."""
         claims = await ClaimFleet(nursery, ClaimSettings(shards=1)).start()
         for number in range(9):
             await claims.claim("entry-1", number, key=f"k{number}")
@@ -253,7 +256,7 @@
 
 class TestBounds:
     async def test_writes_are_bounded(self, claims, autojump_clock):
-        """670 claims a second for 2 s go in at most 1 / interval writes a second and shard."""
+        """670 claims/s for 2 s cause at most 1 / interval writes per second and shard."""
         random = Random(5)
         async with trio.open_nursery() as nursery:
             for number in range(1340):
@@ -265,12 +268,12 @@
             elapsed_s / interval_s + 2
         )
 
-    async def test_full_shard_refuses_and_forgets_nothing_early(
+    async def test_full_shard_refuses_and_drops_nothing_early(
         self, nursery, small_segments, autojump_clock
     ):
-        """A shard reaches its bound. Forgetting old claims to make room would let them run twice.
+        """A full shard refuses new keys until its oldest segment expires, and states that time.
 
-        New keys are refused instead, with the time at which the oldest segment lapses.
+        Dropping old claims early to make room would let their requests run twice.
         """
         limits = ClaimSettings(shards=1, max_closed_segments=2, retention_s=600.0)
         claims = await ClaimFleet(nursery, limits).start()
@@ -286,7 +289,7 @@
         await trio.sleep(caught.value.figures.retry_after_s)
         assert (await claims.claim("entry-1", 999, key="new")).is_granted
 
-    async def test_claims_live_for_the_retention(self, nursery, small_segments, autojump_clock):
+    async def test_claims_are_kept_for_the_retention(self, nursery, small_segments, autojump_clock):
         claims = await ClaimFleet(nursery, ClaimSettings(shards=1, retention_s=600.0)).start()
         for number in range(30):
             await claims.claim("entry-1", number, key=f"k{number}")
--- a/packages/serving/tests/test_home_calls.py
+++ b/packages/serving/tests/test_home_calls.py
@@ -1,4 +1,4 @@
-"""Tests of claims and limits over real links between entries."""
+"""Tests of claims and limits over real peer links between entries."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 class TestRealLinks:
     async def test_claims_and_limits_over_links(self, nursery, autojump_clock):
-        """Two entries with real links claim a key, and count a customer's requests together."""
+        """Linked entries agree on a claimed key and share the concurrency limit of a customer."""
         kernels = await _linked_entries(nursery, MemoryNetwork(0.001), CONCURRENT)
         for number in range(10):
             results = []
@@ -45,10 +45,11 @@
                     refused += 1
         assert refused == 2
 
-    async def test_more_questions_than_a_link_takes(self, nursery, autojump_clock):
-        """A home freezes while hundreds of requests arrive: the link has no stream left for more.
+    async def test_more_calls_than_a_link_has_streams(self, nursery, autojump_clock):
+        """A paused home must not fail requests when its link runs out of streams.
 
-        They all go on without the home; none may break off with an error of the link.
+        Hundreds of requests arrive during the pause and use up all streams of the link. All of them
+        must proceed without the home instead of failing with a link error.
         """
         network = MemoryNetwork(0.001)
         kernels = await _linked_entries(nursery, network, CONCURRENT)
--- a/packages/serving/tests/test_limits.py
+++ b/packages/serving/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits of customers over entries whose homes change and whose links are cut."""
+"""Tests of customer limits across entries, with changing homes and network partitions."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class TestConcurrency:
-    async def test_limit_holds_over_all_entries(self, concurrent, autojump_clock):
+    async def test_limit_holds_across_all_entries(self, concurrent, autojump_clock):
         async with trio.open_nursery() as nursery:
             for number in range(60):
                 nursery.start_soon(concurrent.request, NAMES[number % 5], 10.0)
@@ -43,7 +43,7 @@
                 nursery.start_soon(concurrent.request, NAMES[3], 1.0)
         assert (concurrent.most_open, concurrent.refused) == (LIMIT, 0)
 
-    async def test_room_comes_back_within_a_report(self, concurrent, autojump_clock):
+    async def test_capacity_is_returned_within_a_report_interval(self, concurrent, autojump_clock):
         async with trio.open_nursery() as nursery:
             for _ in range(LIMIT):
                 nursery.start_soon(concurrent.request, NAMES[3], 1.0)
@@ -53,7 +53,7 @@
                 nursery.start_soon(concurrent.request, NAMES[1], 1.0)
         assert concurrent.refused == 0
 
-    async def test_refusal_carries_true_figures(self, concurrent, autojump_clock):
+    async def test_refusal_has_correct_figures(self, concurrent, autojump_clock):
         async with trio.open_nursery() as nursery:
             for number in range(LIMIT):
                 nursery.start_soon(concurrent.request, NAMES[number % 2], 10.0)
@@ -70,8 +70,8 @@
         await limits.request(NAMES[0], 1.0)
         assert (limits.most_open, limits.fleet.message_bytes) == (1, [])
 
-    async def test_entries_cut_off_act_on_their_share(self, concurrent, autojump_clock):
-        """Two entries lose the home: they admit a fifth of the limit each, and say so."""
+    async def test_partitioned_entries_use_their_share(self, concurrent, autojump_clock):
+        """Two entries without the home admit a fifth of the limit each; refusals say so."""
         cut = [name for name in NAMES if name != concurrent.home()][:2]
         concurrent.isolate(*cut)
         async with trio.open_nursery() as nursery:
@@ -84,8 +84,8 @@
         assert caught.value.figures.limit == LIMIT // 5
         assert "share" in caught.value.figures.detail
 
-    async def test_slice_lapses_at_an_entry_cut_off(self, concurrent, autojump_clock):
-        """An entry holds room ahead and is cut off; after the lapse the home gives it to others."""
+    async def test_slice_expires_at_a_partitioned_entry(self, concurrent, autojump_clock):
+        """A partitioned entry loses its extra grant at expiry, when the home may grant it again."""
         entry = next(name for name in NAMES if name != concurrent.home())
         await concurrent.request(entry, 0.1)
         concurrent.isolate(entry)
@@ -97,14 +97,14 @@
 
 
 class TestRate:
-    async def test_rate_holds_over_all_entries(self, rated, autojump_clock):
+    async def test_rate_holds_across_all_entries(self, rated, autojump_clock):
         async with trio.open_nursery() as nursery:
             for number in range(600):
                 nursery.start_soon(rated.request, NAMES[number % 5], 0.1, 200)
                 await trio.sleep(0.1)
         assert 0.9 * (60 * RATE + BURST) <= rated.admitted_tokens <= 60 * RATE + BURST + 200
 
-    async def test_refusal_comes_back_in_time(self, rated, autojump_clock):
+    async def test_retry_after_the_given_delay_is_admitted(self, rated, autojump_clock):
         service = rated.services[NAMES[0]]
         async with service.admit(RATED, BURST):
             pass
@@ -117,22 +117,22 @@
         async with service.admit(RATED, 1_000):
             pass
 
-    async def test_unused_output_is_given_back(self, rated, autojump_clock):
-        """A request reserves many output tokens and ends after a few; the rest isn't charged."""
+    async def test_unused_output_tokens_are_returned(self, rated, autojump_clock):
+        """Reserved output tokens that a request does not generate are not charged."""
         await rated.request(NAMES[0], 0.0, BURST, actual_tokens=100)
         await rated.request(NAMES[0], 0.0, BURST - 200)
         assert rated.refused == 0
 
-    async def test_given_back_tokens_serve_other_entries(self, nursery, autojump_clock):
-        """Granted tokens that an entry leaves unused lapse there and go back to the home."""
+    async def test_returned_tokens_are_available_to_other_entries(self, nursery, autojump_clock):
+        """Granted tokens that stay unused at an entry expire there and are returned to the home."""
         limits = await LimitFleet(nursery, RATED._replace(rate_tokens_per_s=50.0)).start()
         await limits.request(NAMES[0], 0.0, BURST, actual_tokens=0)
         await trio.sleep(12.0)
         await limits.request(NAMES[1], 0.0, BURST)
         assert limits.refused == 0
 
-    async def test_dossier_beyond_the_burst_passes_once(self, rated, autojump_clock):
-        """A dossier of ten bursts is admitted when the bucket is full and paid off afterwards."""
+    async def test_request_larger_than_the_burst_is_admitted_once(self, rated, autojump_clock):
+        """A request of ten bursts is admitted with a full bucket, which then has to recover."""
         await rated.request(NAMES[0], 0.0, 10 * BURST)
         await rated.request(NAMES[1], 0.0, 10)
         assert (rated.admitted_tokens, rated.refused) == (10 * BURST, 1)
@@ -157,19 +157,19 @@
 class TestOvershoot:
     @pytest.mark.parametrize("seed", range(4))
     async def test_random_faults(self, nursery, autojump_clock, seed):
-        """Homes come and go and links are cut while a customer asks for thrice its limit.
+        """Overshoot is bounded while a customer requests three times its limit during faults.
 
-        A new home doesn't know what the old one granted, and entries cut off act on their share:
-        the limit is overshot, at most once over and the shares, and no longer than slices and
-        requests last.
+        Homes change and links are cut. A new home does not know the grants of the old one, and
+        partitioned entries use their shares. The excess is at most one limit plus these shares, and
+        lasts no longer than slices and requests do.
         """
         limits = await LimitFleet(nursery, CONCURRENT).start()
         random = Random(seed)
         settled_s = trio.current_time() + 120.0
         for name in NAMES:
-            nursery.start_soon(_ask_for_ever, limits, name, Random(seed))
+            nursery.start_soon(_send_requests_forever, limits, name, Random(seed))
         while trio.current_time() < settled_s:
-            await _one_fault(limits, random)
+            await _inject_fault(limits, random)
             assert limits.most_open <= 2 * LIMIT + (2 * LIMIT // 5 if limits.fleet.cuts else 0)
             limits.most_open = 0
             await trio.sleep(SLICE_TTL_S + MAX_DURATION_S + 3.0)
@@ -180,7 +180,7 @@
         assert limits.refused > 0
 
     async def test_tokens_while_homes_change(self, rated, autojump_clock):
-        """Each new home begins with a full bucket: a change gives away one burst at most."""
+        """Each new home starts with a full bucket, so a change admits at most one extra burst."""
         started_s, changes = trio.current_time(), 0
         random = Random(2)
         for number in range(2_000):
@@ -193,8 +193,8 @@
         bound = elapsed_s * RATE + (1 + changes) * BURST + 400
         assert 0.8 * elapsed_s * RATE < rated.admitted_tokens <= bound
 
-    async def test_tokens_while_cut_off(self, rated, autojump_clock):
-        """Two of five entries lose the home: they use their shares beside the whole rate."""
+    async def test_tokens_while_partitioned(self, rated, autojump_clock):
+        """Two of five entries without the home use their shares in addition to the full rate."""
         started_s = trio.current_time()
         rated.isolate(*[name for name in NAMES if name != rated.home()][:2])
         random = Random(4)
@@ -209,14 +209,14 @@
 MAX_DURATION_S = 4.0
 
 
-async def _ask_for_ever(limits, name, random):
+async def _send_requests_forever(limits, name, random):
     async with trio.open_nursery() as nursery:
         while True:
             nursery.start_soon(limits.request, name, random.uniform(0.5, MAX_DURATION_S))
             await trio.sleep(random.expovariate(4.0))
 
 
-async def _one_fault(limits, random):
+async def _inject_fault(limits, random):
     home = limits.home()
     kind = random.choice(["leaves", "lags", "cut", "heals"])
     if kind == "leaves":
--- a/packages/serving/tests/test_naive.py
+++ b/packages/serving/tests/test_naive.py
@@ -36,7 +36,7 @@
         waiting = [make_work("late", 100, 2.0), make_work("early", 90_000, 1.0)]
         assert make_scheduler().pick(waiting, EngineState(3.0, 100, 2_000, 500, ())) is None
 
-    def test_nothing_waits(self) -> None:
+    def test_empty_queue(self) -> None:
         assert make_scheduler().pick([], EngineState(0.0, 100, 10, 10, ())) is None
 
 
--- a/packages/serving/tests/test_policies.py
+++ b/packages/serving/tests/test_policies.py
@@ -49,7 +49,7 @@
 
 class TestRegistry:
     @pytest.mark.parametrize("name", ["round-robin", "least-loaded", "prefix-affinity"])
-    def test_each_gives_few_different_candidates(self, name: str) -> None:
+    def test_each_returns_a_few_distinct_candidates(self, name: str) -> None:
         policy = ROUTING_POLICIES.get(name)(Random(1))
         chosen = policy.choose(make_request(), fleet())
         assert len({one.vm for one in chosen}) == len(chosen) == MAX_ASKED
@@ -57,7 +57,7 @@
 
 
 class TestRoundRobin:
-    def test_goes_round(self) -> None:
+    def test_rotates_through_the_candidates(self) -> None:
         policy = RoundRobin(Random(1))
         firsts = [policy.choose(make_request(), fleet(5))[0].vm for _ in range(10)]
         assert firsts[:5] == firsts[5:]
@@ -100,19 +100,19 @@
         }
         assert len(homes) == 1
 
-    def test_prefix_is_left_when_its_replica_is_loaded(self) -> None:
+    def test_affinity_is_ignored_when_the_replica_is_loaded(self) -> None:
         request = make_request(hashes=(1, 2, 3, 4))
         home = PrefixAffinity(Random(1)).choose(request, fleet())[0].vm
         loaded = [one._replace(first_token_s=2.0) if one.vm == home else one for one in fleet()]
         assert PrefixAffinity(Random(1)).choose(request, loaded)[0].vm != home
 
-    def test_near_first_and_far_when_that_is_better(self) -> None:
+    def test_prefers_near_replicas_unless_far_ones_are_better(self) -> None:
         candidates = [make_candidate("far", is_near=False), make_candidate("near")]
         assert PrefixAffinity(Random(1)).choose(make_request(), candidates)[0].vm == "near"
         candidates[1] = candidates[1]._replace(first_token_s=1.4)
         assert PrefixAffinity(Random(1)).choose(make_request(), candidates)[0].vm == "far"
 
-    def test_memory_in_use_shows_a_prefill_that_the_queue_hides(self) -> None:
+    def test_memory_in_use_reveals_a_running_prefill(self) -> None:
         candidates = [one._replace(free_blocks=200) for one in fleet(4)]
         candidates.append(make_candidate("idle"))
         firsts = {
@@ -121,7 +121,7 @@
         }
         assert firsts == {"idle"}
 
-    def test_calls_of_plain_services_go_where_fewer_are_under_way(self) -> None:
+    def test_plain_calls_go_to_the_replica_with_fewer_calls(self) -> None:
         candidates = [
             one._replace(running=place, first_token_s=0.0) for place, one in enumerate(fleet(2))
         ]
@@ -131,13 +131,13 @@
         ]
         assert set(firsts) == {"vm0"}
 
-    def test_bound_on_the_wait_is_stated_to_each_candidate(self) -> None:
+    def test_maximum_wait_is_set_for_each_candidate(self) -> None:
         chosen = PrefixAffinity(Random(1)).choose(make_request(), fleet())
         assert all(0 < one.max_wait_s < 0.1 for one in chosen)
         chosen = PrefixAffinity(Random(1), ("bound",)).choose(make_request(), fleet())
         assert all(one.max_wait_s == 0 for one in chosen)
 
-    def test_long_prompts_leave_the_same_replicas_to_short_ones(self) -> None:
+    def test_long_prompts_avoid_the_replicas_for_short_ones(self) -> None:
         taken = {length: set[str]() for length in (2_000, 50_000)}
         for length, vms in taken.items():
             for seed in range(60):
@@ -146,38 +146,39 @@
         assert len(taken[2_000]) == 20
         assert len(taken[50_000]) == 17
 
-    def test_long_prompts_take_spared_replicas_when_all_others_are_loaded(self) -> None:
+    def test_long_prompts_use_reserved_replicas_when_others_are_loaded(self) -> None:
         policy = PrefixAffinity(Random(1))
         free = {one.vm for one in policy.choose(make_request(50_000), fleet(8))}
         loaded = [one._replace(first_token_s=4.0) if one.vm in free else one for one in fleet(8)]
         assert policy.choose(make_request(50_000), loaded)[0].vm not in free
 
     def test_entries_do_not_herd_on_a_replica_that_just_reported_idle(self) -> None:
-        """Every second another replica drowns in work while the others stand idle.
+        """Entries must not send all requests to the one replica that reports an empty queue.
 
-        One replica reports an empty queue, the others a short one. Until its next report it is
-        the best in the eyes of all entries, and each sends all that it has there.
+        Until its next report, the replica appears to be the best one to all entries. Without
+        in-flight accounting each entry sends it all of its requests, so every second a different
+        replica is overloaded while the others are idle.
         """
-        assert self._most_on_one(without=()) <= 12
-        assert self._most_on_one(without=("in-flight",)) >= 60
+        assert self._max_requests_on_one_replica(without=()) <= 12
+        assert self._max_requests_on_one_replica(without=("in-flight",)) >= 60
 
-    def _most_on_one(self, without: tuple[str, ...]) -> int:
-        """Return the most of sixty requests from three entries that one of ten replicas got."""
-        got: Counter[str] = Counter()
+    def _max_requests_on_one_replica(self, without: tuple[str, ...]) -> int:
+        """Return the highest load of ten replicas after sixty requests from three entries."""
+        totals: Counter[str] = Counter()
         for entry in range(3):
             policy = PrefixAffinity(Random(entry), without)
-            own: Counter[str] = Counter()
+            sent: Counter[str] = Counter()
             for number in range(20):
                 candidates = [
                     make_candidate(
                         f"vm{place}",
                         0.4 if place == 0 else 1.0,
-                        in_flight=own[f"vm{place}"],
-                        in_flight_tokens=2_000 * own[f"vm{place}"],
+                        in_flight=sent[f"vm{place}"],
+                        in_flight_tokens=2_000 * sent[f"vm{place}"],
                     )
                     for place in range(10)
                 ]
                 vm = policy.choose(make_request(number=number), candidates)[0].vm
-                own[vm] += 1
-            got += own
-        return max(got.values())
+                sent[vm] += 1
+            totals += sent
+        return max(totals.values())
--- a/packages/serving/tests/test_receipts.py
+++ b/packages/serving/tests/test_receipts.py
@@ -1,4 +1,4 @@
-"""Tests of sealed receipts and of what they say in plain words."""
+"""Tests of sealed receipts and their plain-text explanations."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 class TestSeal:
     @pytest.mark.parametrize("code", sorted(REFUSALS))
     def test_every_code_opens_on_another_entry(self, code):
-        """All VMs were replaced since: only the keys of the settings are left."""
+        """After all VMs were replaced, the keys in the settings suffice to open a receipt."""
         text = ReceiptService(ReceiptSettings((NEW, OLD))).seal(facts_of(code))
         assert ReceiptService(ReceiptSettings((NEW,))).open(text) == facts_of(code)
         assert len(text) < MAX_RECEIPT_CHARS
@@ -87,7 +87,7 @@
         assert name.startswith(opened.customer)
         assert len(opened.customer) == 12
 
-    def test_first_key_seals_and_all_open(self):
+    def test_first_key_seals_and_all_keys_open(self):
         text = seal_receipt(KeyRing([OLD]), facts_of("stopping"), NONCE)
         assert open_receipt(KeyRing([NEW, OLD]), text) == facts_of("stopping")
         assert KeyRing([NEW, OLD]).sealing_key_id == "2026-12"
@@ -95,18 +95,18 @@
 
 
 class TestOpen:
-    def test_cut_anywhere(self):
+    def test_truncated_receipt(self):
         for length in range(len(RECEIPT)):
             with pytest.raises(ReceiptMalformed):
                 open_receipt(KeyRing([NEW]), RECEIPT[:length])
 
     def test_forged_by_another_secret(self):
-        """Somebody makes a receipt of their own under the name of the fleet's key."""
+        """An attacker seals a receipt with another secret under the ID of the fleet's key."""
         other = KeyRing([NEW._replace(secret=Secret("c3" * 32))])
         with pytest.raises(ReceiptForged):
             open_receipt(KeyRing([NEW]), seal_receipt(other, facts_of("stopping"), NONCE))
 
-    def test_each_changed_character_is_noticed(self):
+    def test_each_changed_character_is_detected(self):
         for index, old in enumerate(RECEIPT):
             new = "A" if old != "A" else "B"
             with pytest.raises(ERRORS):
@@ -118,13 +118,13 @@
         with pytest.raises(ReceiptForged):
             open_receipt(KeyRing([NEW]), RECEIPT[:middle] + new + RECEIPT[middle + 1 :])
 
-    def test_same_bytes_in_another_spelling(self):
-        """The last character has spare bits: one receipt must not have several texts."""
+    def test_non_canonical_base64(self):
+        """The last character has unused bits; a receipt must have only one valid text."""
         assert RECEIPT.endswith("Q")
         with pytest.raises(ReceiptMalformed):
             open_receipt(KeyRing([NEW]), RECEIPT[:-1] + "R")
 
-    def test_key_named_otherwise_is_forged(self):
+    def test_changed_key_id_is_forged(self):
         keys = KeyRing([NEW, OLD])
         with pytest.raises(ReceiptForged):
             open_receipt(keys, RECEIPT.replace(NEW.key_id, OLD.key_id))
@@ -134,11 +134,11 @@
             open_receipt(KeyRing([OLD]), RECEIPT)
 
     def test_withdrawn_key(self):
-        """A key's secret was stolen: what it sealed could be anybody's."""
+        """Receipts of a withdrawn key are rejected, as its secret may have been stolen."""
         with pytest.raises(ReceiptKeyWithdrawn):
             open_receipt(KeyRing([NEW._replace(withdrawn=True), OLD]), RECEIPT)
 
-    def test_content_of_a_stolen_key_is_bounded(self):
+    def test_contents_are_limited_even_if_authenticated(self):
         ring = KeyRing([NEW])
         for content in (b"[" * 100_000, json.dumps(["x"] * 13).encode(), b"{}", b"\xff"):
             packed = zlib.compress(content, 9)
@@ -150,7 +150,7 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.one_of(st.text(), st.from_regex(r"sr1\.2026-12\.\d{1,4}\.[\w-]*")))
-    def test_no_text_breaks_the_opener(self, text):
+    def test_arbitrary_text_raises_receipt_errors(self, text):
         with pytest.raises(ERRORS):
             open_receipt(KeyRing([NEW]), text)
 
@@ -165,7 +165,7 @@
             (NEW._replace(secret=Secret("zz" * 32)),),
         ],
     )
-    def test_bad_keys_are_refused_without_showing_them(self, keys):
+    def test_invalid_keys_are_rejected_without_leaking_secrets(self, keys):
         with pytest.raises(ReceiptKeysInvalid) as caught:
             KeyRing(keys)
         assert keys[0].secret not in str(caught.value)
--- a/packages/serving/tests/test_retries.py
+++ b/packages/serving/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Bounds of retries."""
+"""Tests of retry decisions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
             (FIRST, 10.0, 0.0, 1.0, ""),
         ],
     )
-    def test_bounds(
+    def test_limits(
         self,
         attempted: Attempted,
         time_left_s: float,
@@ -45,9 +45,12 @@
 
 
 class TestBudget:
-    def test_retries_keep_to_the_ratio_of_first_attempts(self) -> None:
-        """Every engine of a model fails. Without a common bound three attempts a request make
-        three times the load, at the worst moment."""
+    def test_retries_stay_within_the_ratio_of_first_attempts(self) -> None:
+        """When all engines of a model fail, retries must not triple the load.
+
+        Without a common budget, three attempts per request cause three times the load during the
+        outage.
+        """
         budget = RetryBudget(burst=10.0)
         retries = 0
         for _ in range(1_000):
@@ -66,6 +69,6 @@
             assert 0.0 <= min(pauses) < 0.05 * bound_s
             assert 0.95 * bound_s < max(pauses) <= bound_s
 
-    def test_hint_of_the_server_comes_first(self) -> None:
+    def test_jitter_is_added_to_the_server_hint(self) -> None:
         pauses = [backoff_s(RULES, 0, 5.0, Random(seed)) for seed in range(100)]
         assert 5.0 <= min(pauses) < max(pauses) <= 5.1
--- a/packages/serving/tests/test_spans.py
+++ b/packages/serving/tests/test_spans.py
@@ -30,9 +30,12 @@
 class TestPlan:
     @settings(derandomize=True, database=None, max_examples=150, deadline=None)
     @given(ENGINES, st.integers(1, 8_000), st.integers(1, 64))
-    def test_against_all_sets(self, engines, prompt_tokens, output_tokens):
-        """Against trying every set of engines: none that is smaller holds the prompt, and each
-        engine is asked for no more than it may give."""
+    def test_agrees_with_exhaustive_search(self, engines, prompt_tokens, output_tokens):
+        """Compares plans with an exhaustive search over all sets of engines.
+
+        At most one engine more than in the smallest sufficient set is used, and no engine provides
+        more than its span memory.
+        """
         sizes = [
             size
             for size in range(1, len(engines) + 1)
@@ -43,8 +46,8 @@
         assert (segments is None) == (not sizes)
         if segments is None:
             return
-        # A set of the largest engines is looked for; where the leader's answer weighs more than an
-        # engine, another set may be one smaller.
+        # The planner sizes the set by the largest engines. If the leader's output takes up more
+        # than one engine, a different set may be smaller by one.
         assert len(segments) <= min(sizes) + 1
         assert sum(segment.tokens for segment in segments) == prompt_tokens
         assert segments[-1].end_tokens == prompt_tokens
@@ -68,8 +71,8 @@
         assert [segment.vm for segment in segments] == ["a", "c"]
 
 
-class TestAnnouncement:
-    def test_comes_back(self):
+class TestSegmentDone:
+    def test_round_trip(self):
         done = SegmentDone("span-1", 64, 4)
         assert decode_done(encode_done(done)) == done
         with pytest.raises(ValueError, match="missing"):
