--- a/packages/serving/src/sassafrastally/serving/lanes.py
+++ b/packages/serving/src/sassafrastally/serving/lanes.py
@@ -173,7 +173,7 @@
         self._progress = PrefillProgress(self._rank)
 
     def pick(self, waiting: Sequence[Work], state: EngineState) -> Work | None:
-        """Return the work to hand to the engine now, ``None`` to wait."""
+        """Return the work to start on the engine now, or ``None`` to wait."""
         self._drop_stale_ranks(state)
         return self._pick(waiting, state, _PickState(self._served, self._ranks, {}))
 
@@ -186,7 +186,7 @@
         remaining_s = self._progress.update(state, self.cost)
         pick_state = _PickState(self._served.copy(), dict(self._ranks), {})
         simulation = QueueSimulation(
-            state, remaining_s, self.cost, lambda item: self._rank_in(pick_state, item)
+            state, remaining_s, self.cost, lambda item: self._rank_with(pick_state, item)
         )
         return simulation.predict(work, waiting, lambda q, s: self._pick(q, s, pick_state))
 
@@ -205,9 +205,9 @@
         return math.floor(due_s * PRIORITY_STEPS_PER_S) / PRIORITY_STEPS_PER_S
 
     def _rank(self, work: Work) -> float:
-        return self._rank_in(_PickState(self._served, self._ranks, {}), work)
+        return self._rank_with(_PickState(self._served, self._ranks, {}), work)
 
-    def _rank_in(self, pick_state: _PickState, work: Work) -> float:
+    def _rank_with(self, pick_state: _PickState, work: Work) -> float:
         """Return the rank that the work got when it was picked; before that, its due time."""
         if "engine-priority" in self._without:
             return 0.0
--- a/packages/serving/src/sassafrastally/serving/limits.py
+++ b/packages/serving/src/sassafrastally/serving/limits.py
@@ -203,7 +203,7 @@
             await trio.sleep(TICK_S)
             now_s = trio.current_time()
             await self._report_due(now_s)
-            self._forget_idle(now_s)
+            self._drop_idle(now_s)
 
     async def _report_due(self, now_s: float) -> None:
         """Report the customers that are due, with one message per home."""
@@ -231,7 +231,7 @@
         interval_s = TICK_S if is_near_limit else RELAXED_REPORT_INTERVAL_S
         return home.vm != use.home or now_s - use.last_demand_s >= interval_s
 
-    def _forget_idle(self, now_s: float) -> None:
+    def _drop_idle(self, now_s: float) -> None:
         self._uses = {name: use for name, use in self._uses.items() if not use.is_idle(now_s)}
         self._homes = {
             name: slices for name, slices in self._homes.items() if not slices.is_idle(now_s)
