--- a/packages/serving/src/sassafrastally/serving/prefix.py
+++ b/packages/serving/src/sassafrastally/serving/prefix.py
@@ -132,17 +132,17 @@
                 break
             self._cached_hashes.move_to_end(prefix_hash)
             count += 1
-        guess = int(prefix_tokens(count) * self._trust)
-        return max(0, min(guess, prompt_tokens - 1))
+        estimate = int(prefix_tokens(count) * self._trust)
+        return max(0, min(estimate, prompt_tokens - 1))
 
-    def correct(self, hashes: Sequence[int], guessed_tokens: int, counted_tokens: int) -> None:
+    def correct(self, hashes: Sequence[int], estimated_tokens: int, counted_tokens: int) -> None:
         """Correct the estimate with the engine's own count of cached tokens at the end of a run.
 
         The hashes of the run are added, as its prefix is now in the cache even if its events were
         lost.
         """
-        if guessed_tokens > 0:
-            share = min(1.0, counted_tokens / guessed_tokens)
+        if estimated_tokens > 0:
+            share = min(1.0, counted_tokens / estimated_tokens)
             self._trust += TRUST_STEP * (share - self._trust)
         for prefix_hash in reversed(hashes):
             self._keep(prefix_hash)
