--- a/packages/serving/src/sassafrastally/serving/claim_wire.py
+++ b/packages/serving/src/sassafrastally/serving/claim_wire.py
@@ -1,4 +1,4 @@
-"""Claims as messages between entries."""
+"""Conversion between shard requests and the messages that carry them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from sassafrastally.serving.claim_shard import (
     HASH_BYTES,
     Claim,
-    ClaimAsk,
     ClaimOperation,
     ClaimResult,
     ClaimState,
     Placement,
+    ShardRequest,
 )
 from sassafrastally.wire.messages import ClaimReply, ClaimRequest
 
@@ -22,21 +22,21 @@
 NO_PLACEMENT = Placement("", Incarnation(""), RequestId(""), 0)
 
 
-def request_of(ask: ClaimAsk, time_limit_s: float) -> ClaimRequest:
-    """Return the message that asks a shard's home."""
-    claim = ask.claim
+def encode_request(shard_request: ShardRequest, time_limit_s: float) -> ClaimRequest:
+    """Return the message for the home of the request's shard."""
+    claim = shard_request.claim
     return ClaimRequest(
-        ask.operation,
+        shard_request.operation,
         claim.key_hash,
         claim.body_digest,
         *claim.placement,
-        *(ask.old or NO_PLACEMENT),
+        *(shard_request.old or NO_PLACEMENT),
         time_limit_s,
     )
 
 
-def ask_of(request: ClaimRequest) -> ClaimAsk | None:
-    """Return the question of a message; ``None`` when its values are out of bounds."""
+def decode_request(request: ClaimRequest) -> ShardRequest | None:
+    """Return the shard request of a message; ``None`` when its values are invalid."""
     lengths = (len(request.key_hash), len(request.body_digest))
     if request.operation not in set(ClaimOperation) or lengths != (HASH_BYTES, HASH_BYTES):
         return None
@@ -47,16 +47,16 @@
     if request.operation == ClaimOperation.REPLACE and old is None:
         return None
     claim = Claim(request.key_hash, request.body_digest, placement or NO_PLACEMENT)
-    return ClaimAsk(ClaimOperation(request.operation), claim, old)
+    return ShardRequest(ClaimOperation(request.operation), claim, old)
 
 
-def reply_of(result: ClaimResult) -> ClaimReply:
-    """Return the message that answers an entry."""
+def encode_reply(result: ClaimResult) -> ClaimReply:
+    """Return the reply message of a result."""
     return ClaimReply(result.state, *(result.placement or NO_PLACEMENT), result.retry_after_s)
 
 
-def result_of(reply: ClaimReply) -> ClaimResult | None:
-    """Return the answer of a message; ``None`` when its values are out of bounds."""
+def decode_reply(reply: ClaimReply) -> ClaimResult | None:
+    """Return the result of a reply message; ``None`` when its values are invalid."""
     placement = _placement(reply[1:5])
     if reply.state not in set(ClaimState):
         return None
@@ -67,13 +67,13 @@
 
 
 def is_placement(placement: Placement) -> bool:
-    """Return whether a placement can be kept in a shard."""
+    """Return whether a placement can be stored in a shard."""
     return _placement(placement) is not None
 
 
 def _placement(fields: Sequence[object]) -> Placement | None:
     vm, incarnation, request_id, attempt = fields
-    is_whole = (
+    is_valid = (
         isinstance(vm, str)
         and 0 < len(vm.encode()) < 256
         and _is_id(incarnation)
@@ -81,7 +81,7 @@
         and isinstance(attempt, int)
         and 0 <= attempt < 1 << 16
     )
-    if not is_whole:
+    if not is_valid:
         return None
     return Placement(
         str(vm), Incarnation(str(incarnation)), RequestId(str(request_id)), int(str(attempt))
--- a/packages/serving/src/sassafrastally/serving/slices.py
+++ b/packages/serving/src/sassafrastally/serving/slices.py
@@ -1,8 +1,8 @@
-"""Slices of a customer's limits: what its home has granted to each entry.
+"""Slices of a customer's limits that its home grants to the entries.
 
-The home of a customer counts the requests that may be open and holds the customer's token bucket.
-Entries hold slices of both. A slice lapses on the clock of the entry that uses it; the home
-counts it for longer, so a slice is never granted twice by one home.
+The home of a customer counts the permitted open requests and keeps the customer's token bucket.
+Entries hold slices of both. A slice expires on the clock of the entry that uses it. The home counts
+it for longer, so that one home never grants the same slice twice.
 """
 
 from __future__ import annotations
@@ -12,59 +12,60 @@
 if TYPE_CHECKING:
     from sassafrastally.control.bundle import Customer
 
-LAPSE_S = 15.0
-"""How long a slice of the open requests may be used after it was asked for."""
+SLICE_TTL_S = 15.0
+"""How long a slice of the open requests may be used after it was requested."""
 
 HOME_MARGIN_S = 1.0
-"""How much longer the home counts it; covers the time of the messages."""
+"""How much longer the home counts a slice; covers the message latency."""
 
-SPARE_SHARE = 0.5
-"""Part of a limit up to which entries get more than they need at the moment: it saves messages
-while the limit is far away, and refuses nobody on account of what others only set aside."""
+PREFETCH_LIMIT_SHARE = 0.5
+"""Share of a limit up to which entries are granted more than they currently need. This saves
+messages while usage is far below the limit, and no request is refused because of slices that other
+entries hold unused."""
 
-AHEAD = 8
-"""How many times what an entry needs it gets on top, where there is enough to spare."""
+PREFETCH_FACTOR = 8
+"""Maximum extra grant beyond an entry's needs, as a multiple of these needs."""
 
 
-class SliceAsk(NamedTuple):
-    """What one entry reports and asks for one customer."""
+class SliceDemand(NamedTuple):
+    """Usage that one entry reports and demands for one customer."""
 
     customer: str
     open_requests: int
     want_requests: int
-    """Requests open or waiting to be admitted."""
+    """Number of requests that are open or waiting for admission."""
     want_tokens: int
-    """Tokens needed beyond those that the entry has."""
+    """Tokens needed in addition to those that the entry holds."""
     returned_tokens: int
-    """Granted tokens that were not used in time."""
+    """Granted tokens that expired unused."""
 
 
 class SliceGrant(NamedTuple):
-    """What the home grants an entry for one customer."""
+    """Slice that the home grants an entry for one customer."""
 
     customer: str
     requests: int
-    """Requests that the entry may have open until the slice lapses."""
+    """Maximum number of open requests at the entry until the slice expires."""
     tokens: int
-    """Tokens that it may use beyond those it has."""
+    """Tokens granted in addition to those that the entry holds."""
     held_requests: int
-    """Requests granted to all entries, this one included."""
+    """Number of requests granted to all entries, including this one."""
     retry_after_s: float
-    """After how many seconds the tokens asked for would be there; 0 when they were granted."""
+    """Seconds until the demanded tokens would be available; 0 when they were granted."""
 
 
 class TokenBucket:
-    """Token bucket that lets a request larger than the burst pass when it is full.
+    """Token bucket that admits a request larger than the burst when it is full.
 
-    It then goes below zero and pays the rest off before anything else passes: a prompt of a
-    million tokens isn't turned away for good by a burst of a hundred thousand.
+    The balance then becomes negative, and nothing else is admitted until it has recovered. Without
+    this, a burst of 100,000 tokens would permanently refuse a prompt of a million tokens.
 
     Parameters
     ----------
     rate_per_s
-        Tokens that come back each second.
+        Refill rate in tokens per second.
     burst_tokens
-        Tokens that it holds at most; it starts full.
+        Capacity of the bucket, which starts full.
     now_s
         Monotonic time.
     """
@@ -76,14 +77,14 @@
         self._updated_s = now_s
 
     def resize(self, rate_per_s: float, burst_tokens: float, now_s: float) -> None:
-        """Take over changed limits."""
+        """Apply changed limits."""
         self._refill(now_s)
         self.rate_per_s = rate_per_s
         self.burst_tokens = burst_tokens
         self.balance = min(self.balance, burst_tokens)
 
     def take(self, tokens: float, now_s: float) -> float:
-        """Take tokens; return 0, or the seconds until they could be taken when they weren't."""
+        """Take tokens and return 0; if too few, return the seconds until they are available."""
         self._refill(now_s)
         needed = min(tokens, self.burst_tokens)
         if self.balance >= needed:
@@ -92,12 +93,12 @@
         return (needed - self.balance) / self.rate_per_s
 
     def is_full(self, now_s: float) -> bool:
-        """Return whether it is as full as a new one."""
+        """Return whether the bucket is full."""
         self._refill(now_s)
         return self.balance >= self.burst_tokens
 
     def give_back(self, tokens: float) -> None:
-        """Put unused tokens back."""
+        """Return unused tokens to the bucket."""
         self.balance = min(self.balance + tokens, self.burst_tokens)
 
     def _refill(self, now_s: float) -> None:
@@ -106,18 +107,18 @@
         self.balance = min(self.balance + elapsed_s * self.rate_per_s, self.burst_tokens)
 
 
-def burst_of(customer: Customer) -> float:
-    """Return how many tokens a customer's bucket holds: a second's worth at least."""
+def bucket_capacity(customer: Customer) -> float:
+    """Return the capacity of a customer's bucket, at least the tokens of one second."""
     return max(float(customer.burst_tokens), customer.rate_tokens_per_s)
 
 
-class _Held(NamedTuple):
+class _HeldSlice(NamedTuple):
     requests: int
     until_s: float
 
 
 class CustomerSlices:
-    """What the home of one customer has granted.
+    """Slices granted by the home of one customer.
 
     Parameters
     ----------
@@ -128,56 +129,58 @@
     """
 
     def __init__(self, customer: Customer, now_s: float) -> None:
-        self._held: dict[str, _Held] = {}
-        self._bucket = TokenBucket(customer.rate_tokens_per_s, burst_of(customer), now_s)
+        self._held: dict[str, _HeldSlice] = {}
+        self._bucket = TokenBucket(customer.rate_tokens_per_s, bucket_capacity(customer), now_s)
         self._customer = customer
 
     def is_idle(self, now_s: float) -> bool:
-        """Whether no entry holds a slice and the bucket is full, so that it can be forgotten."""
-        self._drop_lapsed(now_s)
+        """Return whether this object can be dropped: no slice is held and the bucket is full."""
+        self._drop_expired(now_s)
         return not self._held and self._bucket.is_full(now_s)
 
     def update(self, customer: Customer, now_s: float) -> None:
-        """Take over the limits of a new bundle."""
+        """Apply the limits of a new bundle."""
         if customer != self._customer:
             self._customer = customer
-            self._bucket.resize(customer.rate_tokens_per_s, burst_of(customer), now_s)
-
-    def grant(self, entry: str, ask: SliceAsk, now_s: float) -> SliceGrant:
-        """Return what an entry gets, and count it as held."""
-        self._drop_lapsed(now_s)
-        requests = self._grant_requests(entry, ask)
-        # Open requests count as held even beyond what was granted: they run to their end.
-        held = max(requests, ask.open_requests)
+            self._bucket.resize(customer.rate_tokens_per_s, bucket_capacity(customer), now_s)
+
+    def grant(self, entry: str, demand: SliceDemand, now_s: float) -> SliceGrant:
+        """Grant a slice to an entry and record it as held."""
+        self._drop_expired(now_s)
+        requests = self._grant_requests(entry, demand)
+        # Open requests count as held even beyond the grant, as they run to completion.
+        held = max(requests, demand.open_requests)
         self._held.pop(entry, None)
         if held:
-            self._held[entry] = _Held(held, now_s + LAPSE_S + HOME_MARGIN_S)
-        tokens, retry_after_s = self._grant_tokens(ask, now_s)
-        total = sum(slice_.requests for slice_ in self._held.values())
-        return SliceGrant(ask.customer, requests, tokens, total, retry_after_s)
+            self._held[entry] = _HeldSlice(held, now_s + SLICE_TTL_S + HOME_MARGIN_S)
+        tokens, retry_after_s = self._grant_tokens(demand, now_s)
+        total = sum(held_slice.requests for held_slice in self._held.values())
+        return SliceGrant(demand.customer, requests, tokens, total, retry_after_s)
 
-    def _grant_requests(self, entry: str, ask: SliceAsk) -> int:
+    def _grant_requests(self, entry: str, demand: SliceDemand) -> int:
         limit = self._customer.max_concurrent
         if not limit:
-            return ask.want_requests
-        others = sum(slice_.requests for name, slice_ in self._held.items() if name != entry)
-        spare = max(int(limit * SPARE_SHARE) - others - ask.want_requests, 0)
-        ahead = min(ask.want_requests * AHEAD, spare)
-        return min(ask.want_requests + ahead, max(limit - others, 0))
-
-    def _grant_tokens(self, ask: SliceAsk, now_s: float) -> tuple[int, float]:
-        self._bucket.give_back(ask.returned_tokens)
-        if not self._customer.rate_tokens_per_s or not ask.want_tokens:
-            return ask.want_tokens, 0.0
-        wait_s = self._bucket.take(ask.want_tokens, now_s)
+            return demand.want_requests
+        others = sum(
+            held_slice.requests for name, held_slice in self._held.items() if name != entry
+        )
+        headroom = max(int(limit * PREFETCH_LIMIT_SHARE) - others - demand.want_requests, 0)
+        extra = min(demand.want_requests * PREFETCH_FACTOR, headroom)
+        return min(demand.want_requests + extra, max(limit - others, 0))
+
+    def _grant_tokens(self, demand: SliceDemand, now_s: float) -> tuple[int, float]:
+        self._bucket.give_back(demand.returned_tokens)
+        if not self._customer.rate_tokens_per_s or not demand.want_tokens:
+            return demand.want_tokens, 0.0
+        wait_s = self._bucket.take(demand.want_tokens, now_s)
         if wait_s:
             return 0, wait_s
-        spare = max(self._bucket.balance - self._bucket.burst_tokens * SPARE_SHARE, 0.0)
-        ahead = min(ask.want_tokens * AHEAD, int(spare))
-        self._bucket.take(ahead, now_s)
-        return ask.want_tokens + ahead, 0.0
-
-    def _drop_lapsed(self, now_s: float) -> None:
-        lapsed = [name for name, slice_ in self._held.items() if slice_.until_s <= now_s]
-        for name in lapsed:
+        headroom = max(self._bucket.balance - self._bucket.burst_tokens * PREFETCH_LIMIT_SHARE, 0.0)
+        extra = min(demand.want_tokens * PREFETCH_FACTOR, int(headroom))
+        self._bucket.take(extra, now_s)
+        return demand.want_tokens + extra, 0.0
+
+    def _drop_expired(self, now_s: float) -> None:
+        expired = [name for name, held_slice in self._held.items() if held_slice.until_s <= now_s]
+        for name in expired:
             del self._held[name]
