--- a/packages/control/src/sassafrastally/control/admin.py
+++ b/packages/control/src/sassafrastally/control/admin.py
@@ -1,4 +1,4 @@
-"""Operators' questions to processes: each process answers its own part over the links."""
+"""Admin queries of operators: each process answers for itself over the peer links."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     from sassafrastally.wire.link import Peers, Stream
 
 ASK_TIME_LIMIT_S = 3.0
-"""How long an entry waits for one process's answer; a frozen one is then listed as silent."""
+"""Time limit for one process's reply; after it a suspended process is listed without a reply."""
 
 MAX_REPLY_BYTES = MAX_FRAME_BYTES - 1024
-"""Room for the answer in one frame."""
+"""Maximum size of a reply, which must fit in one frame."""
 
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
@@ -31,39 +31,39 @@
 ADMIN_METHODS: Registry[Callable[[Kernel, dict[str, Any]], Awaitable[dict[str, Any]]]] = Registry(
     "admin method"
 )
-"""What a process answers to its peers, by name."""
+"""Handlers of the admin methods that a process offers to its peers, by method name."""
 
 
 @error(4901)
 class AdminCallFailed(CodedError):
-    """A process gave no usable answer to an operator's question."""
+    """A process gave no usable reply to an admin query."""
 
 
 class AdminAnswer(NamedTuple):
-    """One process's answer."""
+    """One process's reply to an admin query."""
 
     vm: str
     body: dict[str, Any] | None
-    """``None`` when the process didn't answer."""
+    """``None`` if the process didn't reply."""
     problem: str = ""
 
 
 class AdminService(Service):
-    """Answers operators' questions and passes them on to other processes."""
+    """Answers admin queries and forwards them to other processes."""
 
     name: ClassVar[str] = "admin"
     needs: ClassVar[tuple[str, ...]] = ("peers",)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Register for the calls of peers."""
+        """Register the handler of admin calls from peers."""
         self._peers.on_stream(AdminCall, self._on_call)
 
     async def ask_here(self, method: str, body: dict[str, Any]) -> dict[str, Any]:
-        """Return this process's own answer; raises KeyError for an unknown method."""
+        """Return this process's own reply; raises KeyError for an unknown method."""
         return await ADMIN_METHODS.get(method)(self.kernel, body)
 
     async def ask(self, state: VmState, method: str, body: dict[str, Any]) -> AdminAnswer:
-        """Return one process's answer, or why there is none."""
+        """Query one process; return its reply or the reason why there is none."""
         if state.vm == self.kernel.vm:
             return AdminAnswer(state.vm, await self.ask_here(method, body))
         try:
@@ -81,7 +81,7 @@
     async def ask_all(
         self, states: Sequence[VmState], method: str, body: dict[str, Any]
     ) -> list[AdminAnswer]:
-        """Ask many processes at the same time; answers in the order of the states."""
+        """Query several processes concurrently; return the replies in the order of the states."""
         answers: list[AdminAnswer | None] = [None] * len(states)
 
         async def ask_one(index: int) -> None:
@@ -114,18 +114,18 @@
 
 @ADMIN_METHODS.register("status")
 async def answer_status(kernel: Kernel, _body: dict[str, Any]) -> dict[str, Any]:
-    """Return what each service of this process says of itself."""
+    """Return the status of each service of this process."""
     return {
         "vm": kernel.vm,
         "data_centre": kernel.data_centre,
         "incarnation": kernel.incarnation,
         "services": {
-            service.name: figures for service in kernel.services() if (figures := service.status())
+            service.name: status for service in kernel.services() if (status := service.status())
         },
     }
 
 
 @ADMIN_METHODS.register("metrics")
 async def answer_metrics(_kernel: Kernel, _body: dict[str, Any]) -> dict[str, Any]:
-    """Return the figures of this process's instruments."""
+    """Return the values of this process's metrics."""
     return {"text": metrics_text()}
--- a/packages/control/src/sassafrastally/control/assemble.py
+++ b/packages/control/src/sassafrastally/control/assemble.py
@@ -1,10 +1,10 @@
-"""Puts together what a process of either role has."""
+"""Builds the kernel with the services that processes of both roles have."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-# Imported for what it registers: the time line's admin method.
+# Imported for its side effect: it registers the timeline's admin method.
 from sassafrastally.control import timeline  # noqa: F401
 from sassafrastally.control.admin import AdminService
 from sassafrastally.control.membership import MembershipService, MembershipSettings
@@ -23,16 +23,16 @@
 
 
 class Surroundings(NamedTuple):
-    """What a process stands on; tests put fakes in its place."""
+    """External dependencies of a process; tests replace them with fakes."""
 
     platform: PlatformService
     """Clients of the platform."""
     network: Network
-    """Where links come from."""
+    """Network over which links are opened and accepted."""
     clock: Clock | None = None
-    """The process's clock; one that follows the system's when it is ``None``."""
+    """The process's clock; ``None`` uses the system clock."""
     seed: int | None = None
-    """Seed of the random source; the system's when it is ``None``."""
+    """Seed of the random number generator; ``None`` uses the system's entropy."""
 
 
 def make_kernel(settings: Settings, around: Surroundings) -> Kernel:
--- a/packages/control/src/sassafrastally/control/bundle.py
+++ b/packages/control/src/sassafrastally/control/bundle.py
@@ -1,6 +1,6 @@
-"""The bundle: what operators publish, sign and roll.
+"""The bundle: the configuration that operators publish, sign and roll.
 
-Every part is a `NamedTuple`; `sassafrastally.control.compile` makes one from TOML.
+Every part is a `NamedTuple`; `sassafrastally.control.compile` builds a bundle from TOML.
 """
 
 from __future__ import annotations
@@ -9,63 +9,63 @@
 
 
 class Model(NamedTuple):
-    """A model and how it is to be served."""
+    """A model and its serving configuration."""
 
     name: str
     version: str
     max_context_tokens: int
-    """Longest prompt with its answer."""
+    """Maximum length of a prompt plus its output."""
     min_replicas: int = 1
-    """Ready replicas that a change of version must leave."""
+    """Minimum number of ready replicas that a version change must leave."""
     adapters: tuple[str, ...] = ()
 
 
 class Customer(NamedTuple):
-    """A customer with its keys, share and limits."""
+    """A customer with its API keys, share and limits."""
 
     name: str
     key_digests: tuple[str, ...]
     """SHA-256 of each bearer key, 64 hexadecimal digits."""
     share: float = 1.0
-    """Weight in the fair sharing under contention."""
+    """Weight in fair sharing under contention."""
     rate_tokens_per_s: float = 0.0
-    """Most prompt and output tokens a second, averaged; 0 is no limit."""
+    """Maximum average rate of prompt and output tokens; 0 means no limit."""
     burst_tokens: int = 0
-    """Tokens that may be used at once beyond the rate."""
+    """Burst size: tokens that may be used at once beyond the rate."""
     max_concurrent: int = 0
-    """Most requests at a time over all entries; 0 is no limit."""
+    """Maximum number of concurrent requests over all entries; 0 means no limit."""
     priority: int = 0
-    """Lower goes first."""
+    """Lower values are served first."""
     models: tuple[str, ...] = ()
-    """Models allowed; none listed means all."""
+    """Allowed models; empty means all."""
 
 
 class PlainService(NamedTuple):
-    """A service beside the engines that is routed to as well."""
+    """A service other than a model engine to which calls are routed."""
 
     name: str
     max_concurrent: int = 0
-    """Most calls at a time on one backend server; 0 is no limit."""
+    """Maximum number of concurrent calls per backend server; 0 means no limit."""
     time_limit_s: float = 30.0
     idempotent_methods: tuple[str, ...] = ("GET", "HEAD")
-    """Methods whose calls may be repeated."""
+    """HTTP methods whose calls may be retried."""
 
 
 class Weights(NamedTuple):
-    """What the deployment weighs."""
+    """Weights for trading off short requests against long ones."""
 
     short_slowdown: float = 1.0
-    """Weight of how much short requests slow down beside long ones."""
+    """Weight of the slowdown of short requests that run beside long ones."""
     long_first_token: float = 1.0
     """Weight of the time to first token of long prompts."""
     short_tokens: int = 4_000
-    """Prompts up to this count as short."""
+    """Prompts up to this length count as short."""
     long_tokens: int = 100_000
-    """Prompts from this on count as long."""
+    """Prompts of at least this length count as long."""
 
 
 class Limits(NamedTuple):
-    """Bounds that hold for every customer."""
+    """Limits that apply to every customer."""
 
     default_time_limit_s: float = 120.0
     max_time_limit_s: float = 900.0
@@ -73,19 +73,19 @@
     max_output_tokens: int = 8_192
     max_attempts: int = 3
     retry_ratio: float = 0.1
-    """Most retries for each first attempt, over a window."""
+    """Maximum ratio of retries to first attempts over a window."""
 
 
 class Drain(NamedTuple):
-    """Which backend servers are to leave."""
+    """Backend servers to drain."""
 
     vms: tuple[str, ...] = ()
-    """VMs whose sidecars take no new work from the moment this bundle is in force there; a sidecar
-    that has begun to leave takes none until it is started anew."""
+    """VMs whose sidecars accept no new work once this bundle is active there; a sidecar that has
+    started to drain accepts none until it is restarted."""
 
 
 class Bundle(NamedTuple):
-    """Everything that operators decide, as one value."""
+    """The whole configuration set by operators, as one value."""
 
     name: str
     models: tuple[Model, ...]
@@ -97,10 +97,10 @@
 
 
 class BundleInForce(NamedTuple):
-    """The bundle that a process acts by."""
+    """The bundle that is active in a process."""
 
     generation: int
-    """Grows with each roll; a process never goes to a lower one."""
+    """Increases with each roll; a process never activates a lower one."""
     digest: str
     """SHA-256 of the canonical bytes."""
     bundle: Bundle
--- a/packages/control/src/sassafrastally/control/bundle_events.py
+++ b/packages/control/src/sassafrastally/control/bundle_events.py
@@ -1,4 +1,4 @@
-"""Events of the spread of bundles."""
+"""Events of bundle distribution."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @event(4101)
 class BundleTaken(NamedTuple):
-    """A bundle is in force in this process."""
+    """A bundle became active in this process."""
 
     generation: int
     digest: str
     source: str
-    """Who announced it: ``kv`` or the name of a VM."""
+    """Source of the head: ``kv`` or the name of a VM."""
     waited_s: float
-    """Time since its head was first heard here."""
+    """Time since this process first received its head."""
 
 
 @event(4102, "warning")
 class BundleHeadRefused(NamedTuple):
-    """A head was ignored: it is forged, broken or not signed by whom this process trusts."""
+    """A head was rejected: it is forged, malformed or not signed by a trusted signer."""
 
     source: str
     code: int
@@ -30,7 +30,7 @@
 
 @event(4103, "debug")
 class BundleHeadOutdated(NamedTuple):
-    """A head was ignored: a higher generation is in force or known here."""
+    """A head was ignored: this process has or knows of a higher generation."""
 
     source: str
     offered: int
@@ -39,7 +39,7 @@
 
 @event(4104, "error")
 class BundleHeadConflict(NamedTuple):
-    """Two validly signed heads have the same generation; the one in force here stays."""
+    """Two validly signed heads have the same generation; the active one stays active."""
 
     source: str
     generation: int
@@ -49,7 +49,7 @@
 
 @event(4105, "warning")
 class BundlePartRefused(NamedTuple):
-    """A source sent bytes that don't fit their digest or bounds; it is left out for this bundle."""
+    """A source sent bytes that don't match their digest or bounds; the fetch skips that source."""
 
     source: str
     digest: str
@@ -58,7 +58,7 @@
 
 @event(4106, "warning")
 class BundlePartsMissing(NamedTuple):
-    """No source has all parts of a bundle; it is tried again."""
+    """The sources together don't have all parts of a bundle; the fetch is retried."""
 
     generation: int
     digest: str
@@ -67,14 +67,14 @@
 
 @event(4107)
 class BundleStaged(NamedTuple):
-    """The parts of a signed bundle that isn't rolled yet are here, verified."""
+    """All parts of a signed bundle that isn't rolled yet have been fetched and verified."""
 
     digest: str
 
 
 @event(4108)
 class BundleWatchStarted(NamedTuple):
-    """This process watches the KV service for its data centre."""
+    """This process started to watch the KV service for its data centre."""
 
     data_centre: str
     place: int
@@ -82,7 +82,7 @@
 
 @event(4109, "warning")
 class BundleWatchEnded(NamedTuple):
-    """This process no longer watches the KV service for its data centre."""
+    """This process stopped watching the KV service for its data centre."""
 
     data_centre: str
     reason: str
@@ -90,6 +90,6 @@
 
 @event(4110, "warning")
 class BundleClockGap(NamedTuple):
-    """This process stood still; it reads the head again."""
+    """This process was suspended; it reads the head again."""
 
     gap_s: float
--- a/packages/control/src/sassafrastally/control/canonical.py
+++ b/packages/control/src/sassafrastally/control/canonical.py
@@ -10,16 +10,16 @@
 from sassafrastally.core import CodedError, error
 
 DIGEST = re.compile(r"[0-9a-f]{64}")
-"""Form of a digest: SHA-256 as 64 hexadecimal digits in lower case."""
+"""Format of a digest: SHA-256 as 64 lowercase hexadecimal digits."""
 
 
 @error(4100)
 class BadEncoding(CodedError):
-    """Bytes that should hold a part, manifest, signature or head can't be decoded."""
+    """The bytes of a part, manifest, signature or head can't be decoded."""
 
 
 def canonical_bytes(value: object) -> bytes:
-    """Return the one JSON encoding of a value: sorted keys, no white space, UTF-8."""
+    """Return the canonical JSON encoding of a value: sorted keys, no whitespace, UTF-8."""
     text = json.dumps(
         value, sort_keys=True, separators=(",", ":"), ensure_ascii=False, allow_nan=False
     )
@@ -32,7 +32,7 @@
 
 
 def is_digest(text: object) -> bool:
-    """Return whether a value has the form of a digest."""
+    """Return whether a value has the format of a digest."""
     return isinstance(text, str) and DIGEST.fullmatch(text) is not None
 
 
@@ -42,27 +42,27 @@
     Parameters
     ----------
     data
-        The bytes; they may come from anyone.
+        The bytes; they are untrusted.
     max_bytes
-        Most bytes that are looked at.
+        Maximum size that is decoded.
     what
-        Name of the thing, for the message.
+        Name of the decoded value, for the error message.
 
     Raises
     ------
     BadEncoding
-        When the bytes are too many or hold no JSON object.
+        When the bytes are too long or don't hold a JSON object.
     """
     if len(data) > max_bytes:
-        raise BadEncoding(f"{what} of {len(data)} bytes is over {max_bytes}")
+        raise BadEncoding(f"{what} of {len(data)} bytes exceeds the limit of {max_bytes} bytes")
     try:
-        value = json.loads(data, parse_constant=_refuse_constant)
+        value = json.loads(data, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as cause:
-        raise BadEncoding(f"{what} is no JSON: {type(cause).__name__}") from cause
+        raise BadEncoding(f"{what} is not valid JSON: {type(cause).__name__}") from cause
     if not isinstance(value, dict):
-        raise BadEncoding(f"{what} is no JSON object")
+        raise BadEncoding(f"{what} is not a JSON object")
     return value
 
 
-def _refuse_constant(name: str) -> float:
-    raise ValueError(f"{name} is no finite number")
+def _reject_constant(name: str) -> float:
+    raise ValueError(f"{name} is not a finite number")
--- a/packages/control/src/sassafrastally/control/compile.py
+++ b/packages/control/src/sassafrastally/control/compile.py
@@ -1,4 +1,4 @@
-"""From TOML text to a checked bundle."""
+"""Compiles TOML text into a validated bundle."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     PlainService,
     Weights,
 )
-from sassafrastally.control.rules import entry_problems, name_problems, whole_problems
+from sassafrastally.control.rules import bundle_problems, entry_problems, name_problems
 from sassafrastally.core import Finding, FindingsError, Place
 from sassafrastally.core.settings import check_table, toml_lines
 
@@ -28,27 +28,27 @@
 _KEYS = frozenset(Bundle._fields)
 
 
-class _Listed(NamedTuple):
-    """An entry with its place in the document's list."""
+class _IndexedEntry(NamedTuple):
+    """An entry with its index in the document's list."""
 
     position: int
     entry: Any
 
 
 def compile_bundle(text: str, file: str) -> Bundle:
-    """Check a bundle in TOML and return it, its entries sorted by name.
+    """Validate a bundle in TOML and return it with its entries sorted by name.
 
     Parameters
     ----------
     text
         The document.
     file
-        Its name, for findings.
+        Name of the document's file, for findings.
 
     Raises
     ------
     FindingsError
-        With every finding at file, line and key.
+        With every finding and its file, line and key.
     """
     try:
         document = tomllib.loads(text)
@@ -59,7 +59,7 @@
 
 
 class _Compiler:
-    """Reads one document and collects what is wrong with it."""
+    """Compiles one document and collects its findings."""
 
     def __init__(self, document: Mapping[str, Any], lines: Mapping[str, int], file: str) -> None:
         self._document = document
@@ -68,9 +68,9 @@
         self._findings: list[Finding] = []
 
     def compile(self) -> Bundle:
-        """Return the bundle or raise all findings."""
+        """Return the bundle, or raise an error with all findings."""
         for key in self._document.keys() - _KEYS:
-            self._find(key, "unknown key")
+            self._add_finding(key, "unknown key")
         name = self._name()
         models = self._entries("models", Model)
         customers = self._entries("customers", Customer)
@@ -78,7 +78,7 @@
         weights = self._table("weights", Weights)
         limits = self._table("limits", Limits)
         drain = self._table("drain", Drain)
-        self._check_whole(models, customers, services)
+        self._check_across_entries(models, customers, services)
         if self._findings:
             raise FindingsError(self._findings)
         return Bundle(
@@ -94,19 +94,19 @@
     def _name(self) -> str:
         name = self._document.get("name")
         if not isinstance(name, str):
-            self._find("name", "missing" if name is None else "must be of type str")
+            self._add_finding("name", "missing" if name is None else "must be of type str")
             return ""
         for problem in name_problems(name, "name"):
-            self._find(*problem)
+            self._add_finding(*problem)
         return name
 
-    def _entries(self, key: str, kind: type[Any]) -> list[_Listed]:
+    def _entries(self, key: str, kind: type[Any]) -> list[_IndexedEntry]:
         values = self._document.get(key, [])
         if not isinstance(values, list):
-            self._find(key, f"must be an array of tables: [[{key}]]")
+            self._add_finding(key, f"must be an array of tables: [[{key}]]")
             return []
         found = [
-            _Listed(index, self._entry(value, kind, f"{key}[{index}]"))
+            _IndexedEntry(index, self._entry(value, kind, f"{key}[{index}]"))
             for index, value in enumerate(values)
         ]
         return [listed for listed in found if listed.entry is not None]
@@ -117,30 +117,38 @@
     def _entry(self, value: object, kind: type[V], key: str) -> V | None:
         entry, problems = check_table(value, kind)
         for inner, message in problems:
-            self._find(f"{key}.{inner}" if inner else key, message)
+            self._add_finding(f"{key}.{inner}" if inner else key, message)
         if entry is not None:
             for problem in entry_problems(entry, key):
-                self._find(*problem)
+                self._add_finding(*problem)
         return entry
 
-    def _check_whole(
-        self, models: list[_Listed], customers: list[_Listed], services: list[_Listed]
+    def _check_across_entries(
+        self,
+        models: list[_IndexedEntry],
+        customers: list[_IndexedEntry],
+        services: list[_IndexedEntry],
     ) -> None:
-        """Check across entries; broken ones are left out, so indexes are mapped back."""
+        """Check rules across entries.
+
+        Invalid entries are left out, so indexes are mapped back to those of the document.
+        """
         lists = {"models": models, "customers": customers, "services": services}
         entries = {key: tuple(item.entry for item in items) for key, items in lists.items()}
-        whole = Bundle("", entries["models"], entries["customers"], entries["services"])
-        for problem in whole_problems(whole):
-            self._find(_original_key(problem.key, lists), problem.message)
-
-    def _find(self, key: str, message: str) -> None:
-        known = key
-        while known and known not in self._lines:
-            known = known.rpartition(".")[0]
-        self._findings.append(Finding(Place(self._file, self._lines.get(known, 0), key), message))
+        valid_entries = Bundle("", entries["models"], entries["customers"], entries["services"])
+        for problem in bundle_problems(valid_entries):
+            self._add_finding(_document_key(problem.key, lists), problem.message)
+
+    def _add_finding(self, key: str, message: str) -> None:
+        known_key = key
+        while known_key and known_key not in self._lines:
+            known_key = known_key.rpartition(".")[0]
+        self._findings.append(
+            Finding(Place(self._file, self._lines.get(known_key, 0), key), message)
+        )
 
 
-def _original_key(key: str, lists: Mapping[str, list[_Listed]]) -> str:
+def _document_key(key: str, lists: Mapping[str, list[_IndexedEntry]]) -> str:
     match = re.match(r"(\w+)\[(\d+)\](.*)", key)
     if match is None:
         return key
@@ -148,5 +156,5 @@
     return f"{match[1]}[{listed.position}]{match[3]}"
 
 
-def _sorted(listed: list[_Listed]) -> tuple[Any, ...]:
+def _sorted(listed: list[_IndexedEntry]) -> tuple[Any, ...]:
     return tuple(sorted((item.entry for item in listed), key=lambda entry: str(entry.name)))
--- a/packages/control/src/sassafrastally/control/diff.py
+++ b/packages/control/src/sassafrastally/control/diff.py
@@ -1,4 +1,4 @@
-"""What changes from one bundle to another."""
+"""Differences between two bundles."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Change(NamedTuple):
-    """One field or entry that differs."""
+    """A field or entry that differs."""
 
     key: str
     """Such as ``customers.yeso.share``."""
     before: Any
-    """``None`` where the entry is new."""
+    """``None`` if the entry was added."""
     after: Any
-    """``None`` where the entry is gone."""
+    """``None`` if the entry was removed."""
 
 
 def diff_bundles(before: Bundle, after: Bundle) -> list[Change]:
-    """Return the changes, by key in the order of the bundle."""
+    """Return the changes in the order of the bundle's fields, entries sorted by name."""
     changes: list[Change] = []
     if before.name != after.name:
         changes.append(Change("name", before.name, after.name))
--- a/packages/control/src/sassafrastally/control/fetch.py
+++ b/packages/control/src/sassafrastally/control/fetch.py
@@ -1,4 +1,4 @@
-"""Fetching a bundle's parts from peers and from the KV service."""
+"""Fetches a bundle's parts from peers and from the KV service."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     from sassafrastally.wire.link import Link
 
 MAX_REPLY_BYTES = 192 * 1024
-"""Parts in one reply: with its framing it stays under the longest frame."""
+"""Maximum size of the parts in one reply; with framing it stays below the frame size limit."""
 MAX_REQUEST_DIGESTS = 64
 CALL_TIME_LIMIT_S = 5.0
 
 
 @error(4140)
 class PartsMissing(CodedError):
-    """No source has all the parts of a bundle at the moment."""
+    """The sources together don't have all parts of a bundle at the moment."""
 
     def __init__(self, message: str, missing: int) -> None:
         super().__init__(message)
@@ -48,7 +48,7 @@
 
 
 class PartSource(Protocol):
-    """Where manifests and parts come from."""
+    """A source of manifests and parts."""
 
     @property
     def name(self) -> str:
@@ -56,16 +56,19 @@
         ...
 
     async def manifest(self, digest: str) -> bytes:
-        """Return a manifest's bytes, unverified; empty when there are none."""
+        """Return a manifest's bytes, unverified; empty if the source doesn't have it."""
         ...
 
     async def parts(self, manifest: Manifest, digests: Sequence[str]) -> Sequence[bytes]:
-        """Return the parts' bytes, unverified; empty ones aren't had or come with a later call."""
+        """Return the parts' bytes, unverified.
+
+        Empty bytes mean that the source doesn't have the part or returns it in a later call.
+        """
         ...
 
 
 class KvSource:
-    """The KV service as a source."""
+    """Reads manifests and parts from the KV service."""
 
     name = "kv"
 
@@ -77,7 +80,7 @@
         return await self._value(manifest_key(digest))
 
     async def parts(self, manifest: Manifest, digests: Sequence[str]) -> Sequence[bytes]:
-        """Return the parts of the first one's group; the others come with later calls."""
+        """Return the parts in the group of the first digest; later calls return the others."""
         group = next(group for group in manifest.groups if digests[0] in group)
         data = await self._value(group_key(group))
         found = split_group(group, data) if data else {}
@@ -89,7 +92,7 @@
 
 
 class PeerSource:
-    """A linked peer as a source."""
+    """Requests manifests and parts from a linked peer."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -101,20 +104,20 @@
 
     async def manifest(self, digest: str) -> bytes:
         """Return a manifest's bytes."""
-        parts = await self._ask([digest])
+        parts = await self._request([digest])
         return parts[0] if parts else b""
 
     async def parts(self, manifest: Manifest, digests: Sequence[str]) -> Sequence[bytes]:
-        """Return what the peer sends of the parts in one reply."""
-        return await self._ask(digests)
+        """Return those parts that the peer sends in one reply."""
+        return await self._request(digests)
 
-    async def _ask(self, digests: Sequence[str]) -> Sequence[bytes]:
+    async def _request(self, digests: Sequence[str]) -> Sequence[bytes]:
         reply = await self._link.call(PartsRequest(tuple(digests)))
         return reply.parts if isinstance(reply, PartsReply) else ()
 
 
-def reply_to(request: PartsRequest, store: PartStore) -> PartsReply:
-    """Return as many of the parts asked for as fit one frame, at least one if it is held."""
+def make_reply(request: PartsRequest, store: PartStore) -> PartsReply:
+    """Return as many of the requested parts as fit in one frame, at least one if any is held."""
     parts: list[bytes] = []
     size_bytes = 0
     for digest in request.digests[:MAX_REQUEST_DIGESTS]:
@@ -129,17 +132,17 @@
 async def fetch_bundle(
     digest: str, sources: Sequence[PartSource], store: PartStore, events: EventLog
 ) -> Bundle:
-    """Return the bundle of a digest, fetching what the store lacks from one source after another.
+    """Return the bundle of a digest, fetching missing parts from the sources in order.
 
     Raises
     ------
     PartsMissing
-        When the sources together don't have it all.
+        When the sources together don't have all parts.
     BadEncoding, BundleTooLarge
-        When the bundle that was signed breaks a bound.
+        When the signed bundle exceeds a bound.
     """
     for source in sources:
-        await _fill_from(digest, source, store, events)
+        await _fetch_from(digest, source, store, events)
         manifest = store.manifest(digest)
         if manifest is not None and not store.missing(manifest):
             return store.assemble(manifest)
@@ -150,8 +153,8 @@
     raise PartsMissing(f"{missing} parts of {digest} are missing", missing)
 
 
-async def _fill_from(digest: str, source: PartSource, store: PartStore, events: EventLog) -> None:
-    """Take what one source has; one that fails or sends altered bytes is left."""
+async def _fetch_from(digest: str, source: PartSource, store: PartStore, events: EventLog) -> None:
+    """Fetch missing parts from one source until it has no more, fails or sends altered bytes."""
     try:
         manifest = store.manifest(digest)
         if manifest is None:
@@ -160,27 +163,27 @@
             if not data:
                 return
             manifest = store.add_manifest(digest, data)
-        while await _take_some(manifest, source, store):
+        while await _fetch_batch(manifest, source, store):
             pass
-    except (DigestMismatch, BadEncoding) as refused:
-        events.emit(BundlePartRefused(source.name, digest, refused.detail))
+    except (DigestMismatch, BadEncoding) as cause:
+        events.emit(BundlePartRefused(source.name, digest, cause.detail))
     except (LinkCut, LinkRefused, StreamEnded, BadFrame, KvUnavailable, trio.TooSlowError):
-        # The next source or a later attempt brings the rest; what came so far is kept.
+        # The parts fetched so far are kept; the next source or a retry fetches the rest.
         return
 
 
-async def _take_some(manifest: Manifest, source: PartSource, store: PartStore) -> bool:
-    """Take the parts of one call; return whether another call may bring more."""
+async def _fetch_batch(manifest: Manifest, source: PartSource, store: PartStore) -> bool:
+    """Fetch the parts of one call; return whether another call may return more."""
     missing = store.missing(manifest)[:MAX_REQUEST_DIGESTS]
     if not missing:
         return False
     with trio.fail_after(CALL_TIME_LIMIT_S):
         parts = await source.parts(manifest, missing)
-    took_any = False
+    has_new_parts = False
     for digest, data in zip(missing, parts, strict=False):
         if data:
             store.add_part(digest, data)
-            took_any = True
+            has_new_parts = True
     if store.bundle_size_bytes(manifest) > MAX_BUNDLE_BYTES:
-        raise BundleTooLarge(f"the parts have over {MAX_BUNDLE_BYTES} bytes")
-    return took_any
+        raise BundleTooLarge(f"the parts exceed {MAX_BUNDLE_BYTES} bytes")
+    return has_new_parts
--- a/packages/control/src/sassafrastally/control/head.py
+++ b/packages/control/src/sassafrastally/control/head.py
@@ -1,10 +1,10 @@
-"""The head: which bundle is in force, under which generation, signed so that any peer may relay it.
+"""The head: the active bundle and its generation, signed so that any peer may relay it.
 
 Notes
 -----
-Signers sign the digest, the roller signs the generation together with the digest. Without the
-roller's signature a relay could put an old signed digest under a higher generation and so revert
-the fleet; with it, who holds no trusted key can only repeat heads that were rolled.
+Signers sign the digest; the roller signs the generation together with the digest. Without the
+roller's signature, a relay could attach a higher generation to an old signed digest and so revert
+the fleet. With it, a relay without a trusted key can only replay heads that were rolled.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 
 
 class Head(NamedTuple):
-    """One roll."""
+    """A roll of a bundle."""
 
     generation: int
     """Number of the roll, from 1."""
     digest: str
     """Digest of the bundle."""
     previous_generation: int
-    """Generation that the operator saw; always one less."""
+    """Generation that the operator saw as active; always one less than `generation`."""
     roller: str
-    """Signer who rolled."""
+    """Signer who rolled the bundle."""
     nonce: str
-    """Names this roll, so that its repeat after a lost answer finds itself."""
+    """Identifies this roll, so that a retry after a lost response finds the earlier write."""
     signatures: tuple[Signature, ...]
-    """Signatures over the digest that stood when it was rolled."""
+    """Signatures over the digest that existed at the time of the roll."""
     roll_signature: str = ""
-    """The roller's signature over everything else."""
+    """The roller's signature over all other fields."""
 
 
-class HeardHead(NamedTuple):
-    """A verified head with its bytes, and where and when it was heard."""
+class ReceivedHead(NamedTuple):
+    """A verified head with its bytes, source and time of receipt."""
 
     head: Head
     data: bytes
@@ -59,12 +59,12 @@
 
 
 def sign_head(key: SigningKey, head: Head) -> Head:
-    """Return the head with its roller's signature."""
+    """Return the head with the roller's signature added."""
     return head._replace(roll_signature=sign_bytes(key, _signed_bytes(head)))
 
 
 def verify_head(settings: BundleSettings, head: Head) -> None:
-    """Raise a coded error unless the roller is trusted and enough signers signed the digest."""
+    """Raise a coded error unless the roller is trusted and enough trusted signers signed."""
     verify_bytes(settings, head.roller, head.roll_signature, _signed_bytes(head))
     verify_signatures(settings, head.digest, head.signatures)
 
@@ -75,23 +75,23 @@
 
 
 def decode_head(data: bytes) -> Head:
-    """Return the head that the bytes hold, unverified.
+    """Decode a head without verifying its signatures.
 
     Raises
     ------
     BadEncoding
-        When they hold none or break a bound.
+        When the bytes don't hold a head or exceed a bound.
     """
     value = load_object(data, MAX_HEAD_BYTES, "head")
     head, problems = check_table(value, Head)
     if head is None:
         raise BadEncoding(f"head: {problems[0]}")
     if not 1 <= head.generation <= MAX_INTEGER:
-        raise BadEncoding("head has a generation out of bounds")
+        raise BadEncoding("the head's generation is out of range")
     if head.previous_generation != head.generation - 1 or not is_digest(head.digest):
-        raise BadEncoding("head has a wrong previous generation or digest")
+        raise BadEncoding("the head's previous generation or digest is invalid")
     if len(head.signatures) > MAX_SIGNATURES or len(head.nonce) > MAX_NONCE_CHARACTERS:
-        raise BadEncoding("head has too many signatures or too long a nonce")
+        raise BadEncoding("the head has too many signatures or its nonce is too long")
     return head
 
 
--- a/packages/control/src/sassafrastally/control/interfaces.py
+++ b/packages/control/src/sassafrastally/control/interfaces.py
@@ -1,4 +1,4 @@
-"""What other packages see of bundles and membership."""
+"""Interfaces of bundles and membership for other packages."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class BundleSource(Protocol):
-    """The service named ``bundle`` offers this."""
+    """Interface of the service named ``bundle``."""
 
     @property
     def in_force(self) -> BundleInForce | None:
-        """The bundle that this process acts by; ``None`` before the first one is known."""
+        """The active bundle of this process; ``None`` before the first one is active."""
         ...
 
     async def wait_for(self, generation: int) -> BundleInForce:
-        """Wait until a generation at least as high is in force here."""
+        """Wait until this generation or a higher one is active in this process."""
         ...
 
 
 class PeerLoad(NamedTuple):
-    """The last load report of a sidecar."""
+    """The latest load report of a sidecar."""
 
     state: VmState
     report: LoadReport
     received_s: float
-    """When it came, on this process's monotonic clock."""
+    """Time of receipt on this process's monotonic clock."""
 
 
 class Membership(Protocol):
-    """The service named ``membership`` offers this."""
+    """Interface of the service named ``membership``."""
 
     def vms(self, role: str) -> list[VmState]:
-        """Return the VMs of a role that the VM list shows, leaving ones included."""
+        """Return the VMs of a role in the VM list, including leaving ones."""
         ...
 
     def is_leaving(self, vm: str) -> bool:
-        """Return whether the VM list, the bundle or the VM itself says that it leaves."""
+        """Return whether the VM list, the bundle or the VM itself reports it as leaving."""
         ...
 
     def loads(self) -> list[PeerLoad]:
-        """Return the last reports of the sidecars to which a link stands."""
+        """Return the latest reports of the sidecars with an established link."""
         ...
--- a/packages/control/src/sassafrastally/control/keys.py
+++ b/packages/control/src/sassafrastally/control/keys.py
@@ -1,10 +1,10 @@
-"""Keys of the KV service under which bundles live.
+"""Keys in the KV service under which bundles are stored.
 
 Notes
 -----
-Groups of parts, manifests and signatures are written once under a key of their own, so two people
-never overwrite each other. Only the head is ever replaced, by compare-and-swap. Head and
-signatures share the prefix `LIVE`, so that one watch covers both and never carries parts.
+Each group of parts, manifest and signature is written once under its own key, so concurrent
+operators never overwrite each other. Only the head is ever replaced, by compare-and-swap. The head
+and the signatures share the prefix `LIVE`, so that one watch covers both and never delivers parts.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 _GENERATION_DIGITS = 12
 
 PURPOSE_OPERATOR = "admin"
-"""Budget of the operators' calls."""
+"""KV call budget of operators."""
 PURPOSE_SPREAD = "bundle"
-"""Budget of the calls with which processes learn of bundles."""
+"""KV call budget of bundle distribution to processes."""
 
 
 def group_key(digests: Sequence[str]) -> str:
-    """Return the key of a group of parts; whoever has the manifest knows it."""
+    """Return the key of a group of parts; it can be derived from the manifest."""
     return f"{ROOT}group/{digest_of(','.join(digests).encode())}"
 
 
 def manifest_key(digest: str) -> str:
-    """Return the key of a manifest; its digest is the bundle's."""
+    """Return the key of a manifest; its digest is the bundle's digest."""
     return f"{ROOT}manifest/{digest}"
 
 
@@ -50,15 +50,15 @@
 
 
 def history_key(generation: int) -> str:
-    """Return the key that keeps the head of a generation; keys sort as generations do."""
+    """Return the key that stores the head of a generation; keys sort in generation order."""
     return f"{HISTORY}{generation:0{_GENERATION_DIGITS}d}"
 
 
 def watcher_prefix(data_centre: str) -> str:
-    """Return the prefix of the watchers' keys of a data centre."""
+    """Return the prefix of the watcher keys of a data centre."""
     return f"{ROOT}watcher/{data_centre}/"
 
 
 def watcher_key(data_centre: str, index: int) -> str:
-    """Return the key that one watcher of a data centre holds by lease."""
+    """Return the key of one watcher slot of a data centre, held under a lease."""
     return f"{watcher_prefix(data_centre)}{index}"
--- a/packages/control/src/sassafrastally/control/operations.py
+++ b/packages/control/src/sassafrastally/control/operations.py
@@ -1,7 +1,7 @@
-"""The operators' operations on bundles, as the command and the admin interface offer them.
+"""Bundle operations offered to operators by the command line and the admin interface.
 
-Private keys never come here over the network: the admin interface takes signatures and heads that
-the operator's own command has signed.
+Private keys are never sent over the network: the admin interface accepts signatures and heads that
+the operator's local command has signed.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class CheckedBundle(NamedTuple):
-    """A document without findings."""
+    """Summary of a document without findings."""
 
     name: str
     digest: str
@@ -62,7 +62,7 @@
     signer: str
     counts: bool
     reason: str
-    """Why it doesn't count; empty when it does."""
+    """Why it doesn't count; empty if it counts."""
 
 
 class WatcherState(NamedTuple):
@@ -73,7 +73,7 @@
 
 
 class BundleStatus(NamedTuple):
-    """What the KV service holds: the accepted head and who passes it on."""
+    """State in the KV service: the accepted head, its signatures and the watchers."""
 
     head: Head | None
     signatures: tuple[SignatureState, ...]
@@ -81,7 +81,7 @@
 
 
 def check_document(text: str, file: str) -> CheckedBundle:
-    """Compile a document and return its figures; raises `FindingsError`, `BundleTooLarge`."""
+    """Compile a document and return its summary; raises `FindingsError`, `BundleTooLarge`."""
     bundle = compile_bundle(text, file)
     packed = pack_bundle(bundle)
     return CheckedBundle(
@@ -96,7 +96,7 @@
 
 
 async def publish_document(kv: Kv, text: str, file: str) -> Published:
-    """Compile and publish a document; raises as `compile_bundle` and `publish_bundle` do."""
+    """Compile and publish a document; raises the errors of `compile_bundle`, `publish_bundle`."""
     return await publish_bundle(kv, compile_bundle(text, file))
 
 
@@ -115,24 +115,24 @@
 async def read_signatures(
     kv: Kv, digest: str, settings: BundleSettings
 ) -> tuple[SignatureState, ...]:
-    """Return the signatures over a digest, each with the reason why it doesn't count."""
+    """Return the signatures over a digest, with a reason for each that doesn't count."""
     states: list[SignatureState] = []
     for signature in await load_signatures(kv, digest):
         try:
             verify_signature(settings, digest, signature)
             states.append(SignatureState(signature.signer, True, ""))
-        except CodedError as refused:
-            states.append(SignatureState(signature.signer, False, str(refused)))
+        except CodedError as cause:
+            states.append(SignatureState(signature.signer, False, str(cause)))
     return tuple(states)
 
 
 async def resolve_bundle(kv: Kv, reference: str) -> Bundle:
-    """Return the bundle of a digest, a generation or ``head``.
+    """Return the bundle identified by a digest, a generation or ``head``.
 
     Raises
     ------
     UnknownBundle
-        When there is none.
+        When there is no such bundle.
     """
     if is_digest(reference):
         return (await load_bundle(kv, reference)).bundle
@@ -142,17 +142,17 @@
     elif reference.isdecimal():
         head = await read_generation(kv, int(reference))
     if head is None:
-        raise UnknownBundle(f"neither digest nor generation: {reference!r}")
+        raise UnknownBundle(f"no bundle has the digest or generation {reference!r}")
     return (await load_bundle(kv, head.digest)).bundle
 
 
 async def diff_stored(kv: Kv, before: str, after: str) -> list[Change]:
-    """Return what changes from one stored bundle to another."""
+    """Return the differences between two stored bundles."""
     return diff_bundles(await resolve_bundle(kv, before), await resolve_bundle(kv, after))
 
 
 def plain(value: Any) -> Any:
-    """Return a result as JSON values, named tuples as objects."""
+    """Convert a result to JSON values, with named tuples as objects."""
     if hasattr(value, "_asdict"):
         return {key: plain(item) for key, item in value._asdict().items()}
     if isinstance(value, dict):
--- a/packages/control/src/sassafrastally/control/parts.py
+++ b/packages/control/src/sassafrastally/control/parts.py
@@ -1,8 +1,8 @@
-"""A bundle as parts named by their digests, and back.
+"""Splits a bundle into content-addressed parts and assembles it again.
 
-The manifest lists the parts; the bundle's digest is the digest of the manifest. Customers are
-spread over shards by a hash of their names, so that changing one customer changes one shard and
-the manifest.
+The manifest lists the digests of the parts; the bundle's digest is the digest of the manifest.
+Customers are sharded by a hash of their names, so that changing one customer changes only one
+shard and the manifest.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     is_digest,
     load_object,
 )
-from sassafrastally.control.rules import entry_problems, name_problems, whole_problems
+from sassafrastally.control.rules import bundle_problems, entry_problems, name_problems
 from sassafrastally.core import CodedError, error
 from sassafrastally.core.kv import MAX_VALUE_BYTES
 from sassafrastally.core.settings import check_table
@@ -38,27 +38,31 @@
 
 FORMAT = 1
 MAX_PART_BYTES = 128 * 1024
-"""A part fits a frame of the peer protocol and a value of the KV service."""
+"""Maximum size of a part; it fits in a frame of the peer protocol and a value of the KV service."""
 MAX_MANIFEST_BYTES = 128 * 1024
 MAX_PARTS = 1_024
 MAX_BUNDLE_BYTES = 4 * 1024 * 1024
-"""All parts together: a process holds up to three bundles within its memory budget."""
+"""Maximum total size of the parts; a process holds up to three bundles in its memory budget."""
 GROUP_SHARDS = 8
-"""Shards in one value of the KV service: fewer mean more calls, more mean longer values."""
+"""Shards in one value of the KV service; fewer need more calls, more make larger values."""
 GROUP_SEPARATOR = b"\n"
-"""Stands between the parts of a group; canonical JSON never holds it."""
+"""Separator between the parts of a group; canonical JSON never contains it."""
 SHARD_TARGET_BYTES = 12 * 1024
-"""A change sends a shard and the manifest; at 5,000 customers their sum is least near this."""
+"""Target size of a shard.
+
+Changing a customer sends one shard and the manifest; at 5,000 customers their total size is
+smallest near this value.
+"""
 
 
 @error(4101)
 class DigestMismatch(CodedError):
-    """Bytes don't have the digest under which they came: they were altered or cut short."""
+    """Bytes don't match the digest under which they came: they were altered or truncated."""
 
 
 @error(4102)
 class BundleTooLarge(CodedError):
-    """A bundle doesn't fit the bounds on parts."""
+    """A bundle exceeds a bound on the size or number of its parts."""
 
 
 class Manifest(NamedTuple):
@@ -69,11 +73,11 @@
     policy: str
     """Services, weights and limits."""
     customers: tuple[str, ...]
-    """One shard each; the count is a power of two."""
+    """Digests of the customer shards; their number is a power of two."""
 
     @property
     def groups(self) -> tuple[tuple[str, ...], ...]:
-        """The parts as the KV service holds them: several in a value, since it counts calls."""
+        """The digests grouped by KV value: a value holds several parts, since calls are limited."""
         shards = self.customers
         return (
             (self.models, self.policy),
@@ -82,12 +86,12 @@
 
     @property
     def digests(self) -> tuple[str, ...]:
-        """The distinct digests of all parts."""
+        """The digests of all parts, without duplicates."""
         return tuple(dict.fromkeys((self.models, self.policy, *self.customers)))
 
 
 class PackedBundle(NamedTuple):
-    """A bundle in the form in which it is stored and sent."""
+    """A bundle in its stored and transmitted form."""
 
     digest: str
     manifest: bytes
@@ -96,12 +100,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the manifest and all parts."""
+        """Total size of the manifest and all parts."""
         return len(self.manifest) + sum(len(part) for part in self.parts.values())
 
 
 class DecodedPart(NamedTuple):
-    """The entries of one part; which lists are filled depends on the part."""
+    """The decoded content of one part; which fields are set depends on the part."""
 
     models: tuple[Model, ...] = ()
     customers: tuple[Customer, ...] = ()
@@ -117,7 +121,7 @@
     Raises
     ------
     BundleTooLarge
-        When a part or the manifest is over its bound.
+        When a part, a group, the manifest or the whole bundle exceeds its bound.
     """
     models = canonical_bytes({"models": _dicts(bundle.models)})
     policy = canonical_bytes(
@@ -142,14 +146,14 @@
 
 
 def decode_manifest(digest: str, data: bytes) -> Manifest:
-    """Return the manifest that the bytes hold.
+    """Verify and decode a manifest.
 
     Raises
     ------
     DigestMismatch
-        When the bytes have another digest.
+        When the bytes don't match the digest.
     BadEncoding
-        When they hold no manifest or break a bound.
+        When they don't hold a manifest or exceed a bound.
     """
     check_digest(digest, data)
     value = load_object(data, MAX_MANIFEST_BYTES, "manifest")
@@ -162,19 +166,19 @@
     if not 1 <= count <= MAX_PARTS or count & (count - 1):
         raise BadEncoding(f"manifest lists {count} shards")
     if not all(map(is_digest, manifest.digests)) or list(name_problems(manifest.name, "name")):
-        raise BadEncoding("manifest holds what is no digest or no name")
+        raise BadEncoding("manifest contains an invalid digest or name")
     return manifest
 
 
 def decode_part(digest: str, data: bytes) -> DecodedPart:
-    """Return the entries that a part holds.
+    """Verify and decode a part.
 
     Raises
     ------
     DigestMismatch
-        When the bytes have another digest.
+        When the bytes don't match the digest.
     BadEncoding
-        When they hold no part or break a bound.
+        When they don't hold a part or exceed a bound.
     """
     check_digest(digest, data)
     value = load_object(data, MAX_PART_BYTES, "part")
@@ -190,12 +194,12 @@
 
 
 def assemble_bundle(manifest: Manifest, parts: Mapping[str, DecodedPart]) -> Bundle:
-    """Put a bundle together from its decoded parts.
+    """Assemble a bundle from its decoded parts.
 
     Raises
     ------
     BadEncoding
-        When the parts don't fit each other.
+        When the parts are inconsistent with each other.
     """
     policy = parts[manifest.policy]
     shards = [parts[digest].customers for digest in manifest.customers]
@@ -211,23 +215,23 @@
         policy.limits,
         policy.drain,
     )
-    for problem in whole_problems(bundle):
+    for problem in bundle_problems(bundle):
         raise BadEncoding(f"bundle: {problem.key} {problem.message}")
     return bundle
 
 
 def unpack_bundle(packed: PackedBundle) -> Bundle:
-    """Verify and decode a whole bundle; raises as the functions that it calls."""
+    """Verify and decode a whole bundle; raises `DigestMismatch`, `BadEncoding`."""
     manifest = decode_manifest(packed.digest, packed.manifest)
     missing = [digest for digest in manifest.digests if digest not in packed.parts]
     if missing:
-        raise BadEncoding(f"bundle lacks {len(missing)} parts")
+        raise BadEncoding(f"{len(missing)} parts of the bundle are missing")
     decoded = {digest: decode_part(digest, packed.parts[digest]) for digest in manifest.digests}
     return assemble_bundle(manifest, decoded)
 
 
 def join_group(group: Sequence[str], parts: Mapping[str, bytes]) -> bytes:
-    """Return the bytes of a group of parts."""
+    """Return the concatenated parts of a group."""
     return GROUP_SEPARATOR.join(parts[digest] for digest in group)
 
 
@@ -240,17 +244,17 @@
 
 
 def check_digest(digest: str, data: bytes) -> None:
-    """Raise `DigestMismatch` unless the bytes have the digest."""
+    """Raise `DigestMismatch` unless the bytes match the digest."""
     found = digest_of(data)
     if found != digest:
         raise DigestMismatch(f"expected {digest}, found {found}")
 
 
 def _shards(customers: Sequence[Customer]) -> list[bytes]:
-    """Return the customers' shards.
+    """Return the encoded customer shards.
 
-    The count is the least power of two that brings the mean under the target and each under the
-    bound: it depends on the customers alone, so equal bundles have equal digests.
+    Their number is the smallest power of two that brings the mean size under the target and each
+    shard under its bound. It depends only on the customers, so equal bundles have equal digests.
     """
     encoded = {customer.name: canonical_bytes(customer._asdict()) for customer in customers}
     total = sum(map(len, encoded.values()))
@@ -275,7 +279,7 @@
         raise BundleTooLarge(f"{len(parts)} parts, the largest of {largest} bytes")
     total = sum(map(len, parts.values()))
     if total > MAX_BUNDLE_BYTES:
-        raise BundleTooLarge(f"the parts have {total} bytes, over {MAX_BUNDLE_BYTES}")
+        raise BundleTooLarge(f"the parts have {total} bytes, more than {MAX_BUNDLE_BYTES}")
 
 
 def _dicts(entries: Sequence[Any]) -> list[dict[str, Any]]:
--- a/packages/control/src/sassafrastally/control/publish.py
+++ b/packages/control/src/sassafrastally/control/publish.py
@@ -1,7 +1,7 @@
-"""Publishing, signing and reading bundles in the KV service.
+"""Publishes, signs and reads bundles in the KV service.
 
-Parts, manifests and signatures are written once, each under a key of its own that its content
-names: publishing or signing again, or by two people at once, comes to the same.
+Parts, manifests and signatures are written once, each under a key derived from its content.
+Publishing and signing are therefore idempotent, also when two operators do so concurrently.
 """
 
 from __future__ import annotations
@@ -53,41 +53,41 @@
 
 @error(4120)
 class StoredAltered(CodedError):
-    """The KV service holds other bytes under a key than the key names: they were altered."""
+    """The KV service holds bytes that don't match their key: they were altered."""
 
 
 @error(4121)
 class UnknownBundle(CodedError):
-    """The KV service holds no bundle of that digest, or not all of its parts."""
+    """The KV service doesn't hold the bundle or lacks some of its parts."""
 
 
 class Published(NamedTuple):
-    """What publishing did."""
+    """Result of publishing a bundle."""
 
     digest: str
     values: int
-    """Values of the KV service that hold it."""
+    """Number of KV values that hold the bundle."""
     written: int
-    """Values that weren't there yet."""
+    """Number of KV values that were newly written."""
     written_bytes: int
 
 
 class StoredBundle(NamedTuple):
-    """A bundle as the KV service holds it, verified."""
+    """A verified bundle from the KV service, packed and decoded."""
 
     packed: PackedBundle
     bundle: Bundle
 
 
 async def publish_bundle(kv: Kv, bundle: Bundle) -> Published:
-    """Write a bundle's parts and then its manifest, as far as they aren't there.
+    """Write a bundle's parts and then its manifest, skipping those that are already stored.
 
     Raises
     ------
     BundleTooLarge
-        When it breaks a bound on parts.
+        When the bundle exceeds a bound on parts.
     StoredAltered
-        When other bytes stand under a part's key.
+        When the key of a part holds other bytes.
     KvUnavailable, MaybeApplied
         When the KV service fails; publishing again is safe.
     """
@@ -105,9 +105,9 @@
 
 
 async def sign_bundle(kv: Kv, digest: str, key: SigningKey, settings: BundleSettings) -> Signature:
-    """Sign a published bundle; raises as `add_signature` does."""
+    """Sign a published bundle; raises the same errors as `add_signature`."""
     if not is_digest(digest):
-        raise UnknownBundle(f"no digest: {digest!r}")
+        raise UnknownBundle(f"not a valid digest: {digest!r}")
     signature = sign_digest(key, digest)
     await add_signature(kv, digest, signature, settings)
     return signature
@@ -121,7 +121,7 @@
     Raises
     ------
     UnknownBundle, StoredAltered, DigestMismatch, BadEncoding
-        When what is stored isn't the whole, unaltered bundle.
+        When the stored bundle is incomplete or altered.
     UnknownSigner, WithdrawnSigner, WrongSignature
         When the signature isn't that of a trusted signer.
     """
@@ -136,23 +136,23 @@
     Raises
     ------
     UnknownBundle
-        When the manifest or a part isn't there.
+        When the manifest or a part isn't stored.
     DigestMismatch, BadEncoding
-        When something was altered.
+        When stored bytes were altered.
     """
     if not is_digest(digest):
-        raise UnknownBundle(f"no digest: {digest!r}")
-    encoded = await _stored(kv, manifest_key(digest), purpose)
+        raise UnknownBundle(f"not a valid digest: {digest!r}")
+    encoded = await _load_value(kv, manifest_key(digest), purpose)
     manifest = decode_manifest(digest, encoded)
     parts: dict[str, bytes] = {}
     for group in manifest.groups:
-        parts |= split_group(group, await _stored(kv, group_key(group), purpose))
+        parts |= split_group(group, await _load_value(kv, group_key(group), purpose))
     packed = PackedBundle(digest, encoded, parts)
     return StoredBundle(packed, unpack_bundle(packed))
 
 
 async def load_signatures(kv: Kv, digest: str) -> tuple[Signature, ...]:
-    """Return the signatures that stand over a digest, unverified; broken ones are left out."""
+    """Return the stored signatures over a digest, unverified; malformed ones are left out."""
     entries = await within_budget(
         lambda: kv.get_prefix(
             signature_prefix(digest), purpose=PURPOSE_OPERATOR, limit=MAX_SIGNATURES
@@ -162,9 +162,10 @@
 
 
 async def write_once(kv: Kv, key: str, data: bytes) -> bool:
-    """Write a key that nobody may change later; return whether it wasn't there yet.
+    """Write an immutable key; return whether it was newly written.
 
-    A lost answer needs no token here: whoever wrote the key wrote these very bytes.
+    A lost response needs no token to resolve, because every writer of the key writes the same
+    bytes.
     """
     writes = [KvWrite(key, data, expected_revision=0)]
     for _ in range(MAX_WRITE_ATTEMPTS):
@@ -182,7 +183,7 @@
 
 
 async def within_budget(call: Callable[[], Awaitable[T]]) -> T:
-    """Make a call of the KV service, waiting while this process's own budget is spent."""
+    """Call the KV service, waiting while this process's call budget is exhausted."""
     while True:
         try:
             return await call()
@@ -190,7 +191,7 @@
             await trio.sleep(spent.retry_after_s or DEFAULT_BUDGET_WAIT_S)
 
 
-async def _stored(kv: Kv, key: str, purpose: str) -> bytes:
+async def _load_value(kv: Kv, key: str, purpose: str) -> bytes:
     entry = await within_budget(lambda: kv.get(key, purpose=purpose))
     if entry is None:
         raise UnknownBundle(f"the KV service doesn't hold {key}")
--- a/packages/control/src/sassafrastally/control/rolling.py
+++ b/packages/control/src/sassafrastally/control/rolling.py
@@ -1,4 +1,4 @@
-"""Rolling: one compare-and-swap that puts a signed bundle in force under the next generation."""
+"""Rolls a signed bundle: one compare-and-swap activates it under the next generation."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 @error(4130)
 class RollLost(KvConflict):
-    """Another roll came first: this one had no effect and will have none."""
+    """Another roll succeeded first; this one has not taken effect and never will."""
 
     def __init__(self, message: str, winner: Head | None = None) -> None:
         super().__init__(message)
         self.winner = winner
-        """The head that took the generation; ``None`` when it isn't known."""
+        """The head that has the generation; ``None`` if unknown."""
 
 
 class RollOrder(NamedTuple):
-    """What an operator wants to roll."""
+    """An operator's request to roll a bundle."""
 
     digest: str
     from_generation: int
-    """Generation that the operator saw in force; 0 when there was none."""
+    """Generation that the operator saw as active; 0 if there was none."""
     nonce: str = ""
-    """Names the roll; derived from digest, generation and roller when empty, so that the same
-    order given again finds its own first run."""
+    """Identifies the roll. If empty, it is derived from the digest, generation and roller, so that
+    a repeated order finds its first run."""
 
 
 class RollResult(NamedTuple):
@@ -47,11 +47,11 @@
 
     head: Head
     repeated: bool
-    """Whether an earlier run of the same order had already taken effect."""
+    """Whether an earlier run of the same order had already succeeded."""
 
 
-class _Seen(NamedTuple):
-    """The head key as it was read."""
+class _StoredHead(NamedTuple):
+    """The stored head and its revision when read."""
 
     head: Head | None
     mod_revision: int
@@ -64,11 +64,12 @@
 async def roll_bundle(
     kv: Kv, order: RollOrder, key: SigningKey, settings: BundleSettings
 ) -> RollResult:
-    """Put a published and signed bundle in force; raises as `submit_head` does."""
+    """Roll a published and signed bundle; raises the same errors as `submit_head`."""
     nonce = order.nonce or _derived_nonce(order, key.signer)
-    # A repeat that finds itself is done, whatever has become of its signers since.
-    if (own := await _own_roll(kv, order.from_generation + 1, nonce)) is not None:
-        return RollResult(own, repeated=True)
+    # If an earlier run of this order succeeded, the roll is done, even if a signer's key has been
+    # withdrawn since.
+    if (own_head := await _find_own_roll(kv, order.from_generation + 1, nonce)) is not None:
+        return RollResult(own_head, repeated=True)
     await _check_generation(kv, order.from_generation)
     signatures = await load_signatures(kv, order.digest)
     head = Head(
@@ -84,63 +85,63 @@
 
 
 async def submit_head(kv: Kv, head: Head, settings: BundleSettings) -> RollResult:
-    """Write a head that its roller has signed.
+    """Write a head signed by its roller.
 
     Raises
     ------
     RollLost
-        When another generation than the operator saw is in force; it names who rolled it.
+        When the active generation isn't the one that the operator saw; it names who rolled.
     UnknownBundle, DigestMismatch, BadEncoding
-        When the bundle isn't stored whole and unaltered.
+        When the stored bundle is incomplete or altered.
     TooFewSignatures, UnknownSigner, WithdrawnSigner, WrongSignature
-        When the roller or the signers don't count.
+        When the roller isn't trusted or too few trusted signers have signed.
     MaybeApplied
-        When the answer was lost and reading back fails too; the same order may be given again.
+        When the response was lost and reading back failed too; the order can be repeated safely.
 
     Notes
     -----
-    A write whose answer was lost may still take effect later, so its absence proves nothing. The
-    same write is sent again: it expects the revision that was read, so of all its copies one at
-    most has an effect. Its nonce is looked for under the key of its generation, which nobody
-    replaces: it is found there even when others have rolled since.
+    A write whose response was lost may still take effect later, so not finding it proves nothing.
+    The same write is sent again. It expects the revision that was read, so at most one copy takes
+    effect. Its nonce is looked up under the history key of its generation, which is immutable, so
+    it is found even if other operators have rolled since.
     """
     verify_head(settings, head)
     await load_bundle(kv, head.digest)
-    lost_answer: MaybeApplied | None = None
+    lost_response: MaybeApplied | None = None
     for attempt in range(MAX_ROLL_ATTEMPTS):
         try:
-            if (own := await _own_roll(kv, head.generation, head.nonce)) is not None:
-                return RollResult(own, repeated=attempt == 0)
-            seen = await _check_generation(kv, head.previous_generation)
-            await _write_head(kv, head, seen.mod_revision)
+            if (own_head := await _find_own_roll(kv, head.generation, head.nonce)) is not None:
+                return RollResult(own_head, repeated=attempt == 0)
+            stored = await _check_generation(kv, head.previous_generation)
+            await _write_head(kv, head, stored.mod_revision)
             return RollResult(head, repeated=False)
         except MaybeApplied as cause:
-            lost_answer = cause
+            lost_response = cause
         except KvUnavailable as cause:
-            if lost_answer is None:
+            if lost_response is None:
                 raise
-            lost_answer.__context__ = cause
+            lost_response.__context__ = cause
         except RollLost:
             raise
         except KvConflict:
             continue
-    raise MaybeApplied("the roll may have taken effect: give the same order again") from lost_answer
+    raise MaybeApplied("the roll may have taken effect; repeat the same order") from lost_response
 
 
 async def read_head(kv: Kv) -> Head | None:
-    """Return the head that the KV service holds, unverified; ``None`` before the first roll."""
-    return (await _read_head(kv)).head
+    """Return the stored head, unverified; ``None`` before the first roll."""
+    return (await _read_stored_head(kv)).head
 
 
 async def read_generation(kv: Kv, generation: int) -> Head | None:
-    """Return the head of a generation, unverified; ``None`` when it was never rolled."""
+    """Return the head of a generation, unverified; ``None`` if it was never rolled."""
     entry = await within_budget(lambda: kv.get(history_key(generation), purpose=PURPOSE_OPERATOR))
     return decode_head(entry.value) if entry else None
 
 
 async def read_history(kv: Kv, limit: int = DEFAULT_HISTORY) -> list[Head]:
-    """Return the last heads, newest first; generations that can't be decoded are left out."""
-    newest = (await _read_head(kv)).generation
+    """Return the latest heads, newest first; those that can't be decoded are left out."""
+    newest = (await _read_stored_head(kv)).generation
     heads: list[Head] = []
     for generation in range(newest, max(newest - limit, 0), -1):
         try:
@@ -152,12 +153,12 @@
     return heads
 
 
-async def _check_generation(kv: Kv, generation: int) -> _Seen:
-    """Return the head as read; raises `RollLost` when it has another generation."""
-    seen = await _read_head(kv)
-    if seen.generation != generation:
-        raise await _lost(kv, generation, seen)
-    return seen
+async def _check_generation(kv: Kv, generation: int) -> _StoredHead:
+    """Read the head; raises `RollLost` if it has another generation."""
+    stored = await _read_stored_head(kv)
+    if stored.generation != generation:
+        raise await _roll_lost_error(kv, generation, stored)
+    return stored
 
 
 async def _write_head(kv: Kv, head: Head, expected_revision: int) -> None:
@@ -169,23 +170,25 @@
     await within_budget(lambda: kv.write(writes, purpose=PURPOSE_OPERATOR))
 
 
-async def _own_roll(kv: Kv, generation: int, nonce: str) -> Head | None:
+async def _find_own_roll(kv: Kv, generation: int, nonce: str) -> Head | None:
     found = await read_generation(kv, generation)
     return found if found is not None and found.nonce == nonce else None
 
 
-async def _read_head(kv: Kv) -> _Seen:
+async def _read_stored_head(kv: Kv) -> _StoredHead:
     entry: KvEntry | None = await within_budget(lambda: kv.get(HEAD, purpose=PURPOSE_OPERATOR))
-    return _Seen(decode_head(entry.value), entry.mod_revision) if entry else _Seen(None, 0)
+    return (
+        _StoredHead(decode_head(entry.value), entry.mod_revision) if entry else _StoredHead(None, 0)
+    )
 
 
-async def _lost(kv: Kv, generation: int, seen: _Seen) -> RollLost:
+async def _roll_lost_error(kv: Kv, generation: int, stored: _StoredHead) -> RollLost:
     winner = await read_generation(kv, generation + 1)
     if winner is None:
-        return RollLost(f"generation {seen.generation} is in force, not {generation}", seen.head)
+        return RollLost(f"generation {stored.generation} is active, not {generation}", stored.head)
     return RollLost(
         f"{winner.roller} rolled {winner.digest} as generation {winner.generation} first;"
-        f" generation {seen.generation} is in force",
+        f" generation {stored.generation} is active",
         winner,
     )
 
--- a/packages/control/src/sassafrastally/control/rules.py
+++ b/packages/control/src/sassafrastally/control/rules.py
@@ -1,4 +1,4 @@
-"""What must hold of a bundle beyond its types; compiling and decoding both check it."""
+"""Validation rules for bundles beyond their types, applied when compiling and when decoding."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
     from collections.abc import Callable, Iterator, Sequence
 
 MAX_INTEGER = 2**53
-"""Integers beyond this are read differently by other JSON libraries."""
+"""Largest integer; other JSON libraries may not read larger ones exactly."""
 MAX_PRIORITY = 1_000
 MAX_CUSTOMERS = 50_000
 MAX_MODELS = 1_000
 MAX_SERVICES = 1_000
 MAX_KEYS = 64
-"""Most keys of one customer."""
+"""Maximum number of API keys per customer."""
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/-]{0,127}")
 METHOD = re.compile(r"[A-Z]{1,32}")
 
 
 class Problem(NamedTuple):
-    """One thing wrong, at a key such as ``customers[3].models``."""
+    """A violated rule, at a key such as ``customers[3].models``."""
 
     key: str
     message: str
 
 
 class Bound(NamedTuple):
-    """Range of a number."""
+    """Inclusive range of a number."""
 
     low: float
     high: float
@@ -76,7 +76,7 @@
 
 
 def entry_problems(entry: object, key: str) -> Iterator[Problem]:
-    """Yield what is wrong with one entry or table."""
+    """Yield the problems of one entry or table."""
     for field, bound in _BOUNDS[type(entry)].items():
         value = getattr(entry, field)
         if not bound.low <= value <= bound.high:
@@ -100,17 +100,17 @@
 
 
 def name_problems(name: str, key: str) -> Iterator[Problem]:
-    """Yield what is wrong with a name."""
+    """Yield the problems of a name."""
     if not _is_name(name):
         yield Problem(key, f"must match {NAME.pattern}, not {name!r}")
 
 
-def whole_problems(bundle: Bundle) -> Iterator[Problem]:
-    """Yield what is wrong between the entries of a bundle."""
+def bundle_problems(bundle: Bundle) -> Iterator[Problem]:
+    """Yield the problems across the entries of a bundle."""
     yield from _size_problems(bundle)
-    yield from _doubled("models", [model.name for model in bundle.models])
-    yield from _doubled("customers", [customer.name for customer in bundle.customers])
-    yield from _doubled("services", [service.name for service in bundle.services])
+    yield from _duplicate_problems("models", [model.name for model in bundle.models])
+    yield from _duplicate_problems("customers", [customer.name for customer in bundle.customers])
+    yield from _duplicate_problems("services", [service.name for service in bundle.services])
     known = {model.name for model in bundle.models}
     owners: dict[str, str] = {}
     for index, customer in enumerate(bundle.customers):
@@ -120,46 +120,46 @@
         for digest in customer.key_digests:
             owner = owners.setdefault(digest, customer.name)
             if owner != customer.name:
-                message = f"a key digest that customer {owner!r} has as well"
+                message = f"a key digest also belongs to customer {owner!r}"
                 yield Problem(f"customers[{index}].key_digests", message)
 
 
 def _size_problems(bundle: Bundle) -> Iterator[Problem]:
-    for key, entries, most in (
+    for key, entries, max_entries in (
         ("models", bundle.models, MAX_MODELS),
         ("customers", bundle.customers, MAX_CUSTOMERS),
         ("services", bundle.services, MAX_SERVICES),
     ):
-        if len(entries) > most:
-            yield Problem(key, f"at most {most}, not {len(entries)}")
+        if len(entries) > max_entries:
+            yield Problem(key, f"at most {max_entries}, not {len(entries)}")
 
 
-def _doubled(key: str, names: Sequence[str]) -> Iterator[Problem]:
+def _duplicate_problems(key: str, names: Sequence[str]) -> Iterator[Problem]:
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            yield Problem(f"{key}[{index}].name", f"the name {name!r} is taken")
+            yield Problem(f"{key}[{index}].name", f"duplicate name {name!r}")
         seen.add(name)
 
 
 def _customer_problems(customer: Customer, key: str) -> Iterator[Problem]:
     if len(customer.key_digests) > MAX_KEYS:
         yield Problem(f"{key}.key_digests", f"at most {MAX_KEYS} keys")
-    # What stands there may be a bearer key that was pasted by mistake: it isn't repeated.
+    # The value may be a bearer key pasted by mistake, so the message doesn't contain it.
     if not all(is_digest(digest) for digest in customer.key_digests):
-        yield Problem(f"{key}.key_digests", "must be 64 hexadecimal digits in lower case")
+        yield Problem(f"{key}.key_digests", "must be 64 lowercase hexadecimal digits")
     if len(set(customer.key_digests)) != len(customer.key_digests):
-        yield Problem(f"{key}.key_digests", "a digest stands twice")
+        yield Problem(f"{key}.key_digests", "contains a duplicate digest")
     yield from _list_problems(customer.models, f"{key}.models", _is_name, "a name")
 
 
 def _list_problems(
-    values: Sequence[str], key: str, is_good: Callable[[str], bool], wanted: str
+    values: Sequence[str], key: str, is_valid: Callable[[str], bool], expected: str
 ) -> Iterator[Problem]:
-    if not all(is_good(value) for value in values):
-        yield Problem(key, f"each must be {wanted}")
+    if not all(is_valid(value) for value in values):
+        yield Problem(key, f"each must be {expected}")
     if len(set(values)) != len(values):
-        yield Problem(key, "an entry stands twice")
+        yield Problem(key, "contains a duplicate entry")
 
 
 def _is_name(name: str) -> bool:
--- a/packages/control/src/sassafrastally/control/signing.py
+++ b/packages/control/src/sassafrastally/control/signing.py
@@ -1,7 +1,7 @@
-"""Signatures of operators over bundle digests and heads.
+"""Operators' signatures over bundle digests and heads.
 
-A signer signs a digest; a roller signs a head. The two have different contexts, so that neither
-signature can be passed off as the other.
+A signer signs a digest; a roller signs a head. The two use different context prefixes, so that
+one kind of signature is never valid as the other.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from sassafrastally.core.settings import check_table, section
 
 BUNDLE_CONTEXT = b"sassafrastally bundle digest v1\0"
-"""Stands before the digest in what is signed, so that the signature means nothing elsewhere."""
+"""Context prefix of a signed digest; it makes the signature invalid in any other context."""
 KEY_BYTES = 32
 SIGNATURE_BYTES = 64
 MAX_SIGNATURE_RECORD_BYTES = 1_024
 MAX_SIGNATURES = 16
-"""Most signatures in a head."""
+"""Maximum number of signatures in a head."""
 
 
 @error(4110)
 class UnknownSigner(CodedError):
-    """The signer isn't among the trusted signers of the settings."""
+    """The signer isn't among the trusted signers in the settings."""
 
 
 @error(4111)
@@ -42,7 +42,7 @@
 
 @error(4112)
 class WrongSignature(CodedError):
-    """The signature doesn't fit the digest and the signer's key."""
+    """The signature doesn't match the digest and the signer's key."""
 
 
 @error(4113)
@@ -52,7 +52,7 @@
 
 @error(4114)
 class BadSigningKey(CodedError):
-    """A signing key or public key doesn't have the right form."""
+    """A signing key or public key is malformed."""
 
 
 class TrustedSigner(NamedTuple):
@@ -73,28 +73,28 @@
 
 @section("bundle")
 class BundleSettings(NamedTuple):
-    """Whom the process trusts with bundles, and how it learns of them."""
+    """Trusted signers of bundles, and how bundles reach the process."""
 
     trusted_signers: tuple[TrustedSigner, ...] = ()
     withdrawn_signers: tuple[str, ...] = ()
-    """Names of signers whose keys no longer count, also if they are still listed as trusted."""
+    """Names of signers whose keys no longer count, even if they are still listed as trusted."""
     required_signatures: int = 1
-    """How many different signers must have signed a bundle."""
+    """Number of different signers that must have signed a bundle."""
     watchers_per_data_centre: int = 2
-    """Processes of a data centre that wait on the KV service for the others."""
+    """Processes of a data centre that watch the KV service on behalf of the others."""
     watch_attempt_s: float = 30.0
-    """Mean time between two looks at the KV service of a process that doesn't watch."""
+    """Mean time between two reads of the KV service by a process that doesn't watch it."""
     watcher_lease_s: float = 15.0
     exchange_s: float = 5.0
     """Mean time between two comparisons of heads with a linked peer."""
     settling_s: float = 3.0
-    """How long a new process collects its peers' heads while the KV service doesn't answer."""
+    """How long a new process collects its peers' heads while the KV service doesn't respond."""
     relay_fan_out: int = 6
-    """To how many linked peers a new head is sent at once."""
+    """Number of linked peers to which a new head is sent immediately."""
 
 
 class SigningKey(NamedTuple):
-    """A signer's private key; neither `repr` nor any log shows it."""
+    """A signer's private key; neither `repr` nor logs show it."""
 
     signer: str
     secret: Secret
@@ -112,48 +112,48 @@
     Raises
     ------
     BadSigningKey
-        When the name has not the form of one.
+        When the name isn't a valid signer name.
     """
     if list(name_problems(signer, "signer")) or "/" in signer:
-        raise BadSigningKey(f"no name for a signer: {signer!r}")
+        raise BadSigningKey(f"not a valid signer name: {signer!r}")
     return SigningKey(signer, Secret(Ed25519PrivateKey.generate().private_bytes_raw().hex()))
 
 
 def encode_key(key: SigningKey) -> str:
-    """Return the text of a key file."""
+    """Encode a key as the text of a key file."""
     return f'signer = "{key.signer}"\nsecret = "{key.secret!s}"\n'
 
 
 def decode_key(text: str) -> SigningKey:
-    """Return the key that the text of a key file holds.
+    """Decode the text of a key file.
 
     Raises
     ------
     BadSigningKey
-        When it holds none; the message never shows what stands there.
+        When the text is malformed; the message never contains the file's content.
     """
     try:
         key, problems = check_table(tomllib.loads(text), SigningKey)
     except tomllib.TOMLDecodeError:
-        raise BadSigningKey("the key file is no TOML") from None
+        raise BadSigningKey("the key file is not valid TOML") from None
     if key is None:
-        raise BadSigningKey(f"the key file's {problems[0][0] or 'content'} is wrong")
+        raise BadSigningKey(f"the key file's {problems[0][0] or 'content'} is invalid")
     _private_key(key)
     return key
 
 
 def sign_digest(key: SigningKey, digest: str) -> Signature:
-    """Sign a bundle digest; Ed25519 gives the same signature each time."""
+    """Sign a bundle digest; Ed25519 signatures are deterministic."""
     return Signature(key.signer, sign_bytes(key, _signed_digest(digest)))
 
 
 def sign_bytes(key: SigningKey, data: bytes) -> str:
-    """Sign bytes that begin with a context and return 128 hexadecimal digits."""
+    """Sign bytes that start with a context prefix; return 128 hexadecimal digits."""
     return _private_key(key).sign(data).hex()
 
 
 def verify_bytes(settings: BundleSettings, signer: str, signature: str, data: bytes) -> None:
-    """Raise a coded error unless a trusted signer's signature fits the bytes."""
+    """Raise a coded error unless the signature matches the bytes and its signer is trusted."""
     if signer in settings.withdrawn_signers:
         raise WithdrawnSigner(f"the key of signer {signer!r} has been withdrawn")
     public_key = next(
@@ -164,17 +164,17 @@
     try:
         key = Ed25519PublicKey.from_public_bytes(bytes.fromhex(public_key))
     except ValueError:
-        raise BadSigningKey(f"the public key of signer {signer!r} has the wrong form") from None
+        raise BadSigningKey(f"the public key of signer {signer!r} is malformed") from None
     try:
         key.verify(bytes.fromhex(signature), data)
     except (InvalidSignature, ValueError):
-        raise WrongSignature(f"the signature of {signer!r} doesn't fit") from None
+        raise WrongSignature(f"the signature of {signer!r} doesn't match") from None
 
 
 def verify_signature(settings: BundleSettings, digest: str, signature: Signature) -> None:
-    """Raise a coded error unless the signature is a trusted signer's over the digest."""
+    """Raise a coded error unless the signature matches the digest and its signer is trusted."""
     if not is_digest(digest):
-        raise WrongSignature("what was signed is no digest")
+        raise WrongSignature("the signed value is not a digest")
     verify_bytes(settings, signature.signer, signature.signature, _signed_digest(digest))
 
 
@@ -183,33 +183,35 @@
 ) -> None:
     """Raise a coded error unless enough different trusted signers have signed the digest.
 
-    A signature that doesn't count, of a signer withdrawn since, does no harm beside enough that
-    do; when too few count, the message gives the reason for each that doesn't.
+    Signatures that don't count, such as those of a signer withdrawn since, are ignored as long as
+    enough others count. If too few count, the message gives the reason for each that doesn't.
     """
-    good: set[str] = set()
+    valid_signers: set[str] = set()
     reasons: list[CodedError] = []
     for signature in signatures[:MAX_SIGNATURES]:
         try:
             verify_signature(settings, digest, signature)
-            good.add(signature.signer)
+            valid_signers.add(signature.signer)
         except (UnknownSigner, WithdrawnSigner, WrongSignature, BadSigningKey) as reason:
             reasons.append(reason)
-    if len(good) >= max(1, settings.required_signatures):
+    if len(valid_signers) >= max(1, settings.required_signatures):
         return
-    if len(reasons) == 1 and not good:
+    if len(reasons) == 1 and not valid_signers:
         raise reasons[0]
     needed = max(1, settings.required_signatures)
     details = "; ".join(str(reason) for reason in reasons)
-    raise TooFewSignatures(f"{len(good)} of {needed} signatures count; {details}".rstrip("; "))
+    raise TooFewSignatures(
+        f"{len(valid_signers)} of {needed} signatures count; {details}".rstrip("; ")
+    )
 
 
 def encode_signature(signature: Signature) -> bytes:
-    """Return the bytes under which a signature is kept."""
+    """Return the stored form of a signature."""
     return canonical_bytes(signature._asdict())
 
 
 def decode_signature(data: bytes) -> Signature:
-    """Return the signature that the bytes hold; raises `BadEncoding`."""
+    """Decode a stored signature; raises `BadEncoding`."""
     value = load_object(data, MAX_SIGNATURE_RECORD_BYTES, "signature")
     signature, problems = check_table(value, Signature)
     if signature is None:
@@ -225,4 +227,4 @@
     try:
         return Ed25519PrivateKey.from_private_bytes(bytes.fromhex(str(key.secret)))
     except ValueError:
-        raise BadSigningKey(f"the secret of signer {key.signer!r} has the wrong form") from None
+        raise BadSigningKey(f"the secret of signer {key.signer!r} is malformed") from None
--- a/packages/control/src/sassafrastally/control/spread.py
+++ b/packages/control/src/sassafrastally/control/spread.py
@@ -1,11 +1,11 @@
-"""The service that brings the bundle in force to this process and passes it on to its peers.
+"""Distributes bundles: fetches and activates the newest bundle and relays its head to peers.
 
 Notes
 -----
-A new head is sent to a few linked peers at once, who do the same (rumour mongering); what that
-misses, the periodic comparison of heads with a random peer brings (anti-entropy). A. Demers et
-al., "Epidemic Algorithms for Replicated Database Maintenance" (1987). Heads are signed and parts
-named by digest, so no peer needs to be trusted.
+A new head is sent immediately to a few linked peers, which do the same (rumour mongering). A
+periodic comparison of heads with a random peer (anti-entropy) covers the peers that this misses.
+See A. Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987). Heads are
+signed and parts are content-addressed, so no peer needs to be trusted.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
     PartSource,
     PeerSource,
     fetch_bundle,
-    reply_to,
+    make_reply,
 )
-from sassafrastally.control.head import Head, HeardHead, decode_head, verify_head
+from sassafrastally.control.head import Head, ReceivedHead, decode_head, verify_head
 from sassafrastally.control.parts import BundleTooLarge
 from sassafrastally.control.signing import decode_signature, verify_signature
 from sassafrastally.control.store import PartStore
@@ -51,16 +51,16 @@
 
 KV = "kv"
 """Source name of the KV service."""
-MAX_ANNOUNCERS = 8
-"""Peers remembered as holding the candidate's parts."""
+MAX_CANDIDATE_SOURCES = 8
+"""Maximum number of peers remembered as having the candidate's parts."""
 NOTICE_TIME_LIMIT_S = 2.0
 RELAY_ROUNDS = 6
 RELAY_INTERVAL_S = 0.1
 RETRY_S = 1.0
 RETRY_CAP_S = 5.0
-GAP_PROBE_S = 1.0
-GAP_S = 5.0
-"""Longer stands between two looks at the clock mean that the process stood still."""
+CLOCK_CHECK_INTERVAL_S = 1.0
+MIN_CLOCK_GAP_S = 5.0
+"""A longer delay between two clock checks means that the process was suspended."""
 
 
 class BundleService(Service):
@@ -69,7 +69,7 @@
     Parameters
     ----------
     settings
-        Trusted signers and times.
+        Trusted signers and timing.
     """
 
     name: ClassVar[str] = "bundle"
@@ -80,40 +80,40 @@
         self._store = PartStore()
         self._in_force: BundleInForce | None = None
         self._head_bytes = b""
-        self._candidate: HeardHead | None = None
-        self._announcers: list[str] = []
-        self._floor = 0
+        self._candidate: ReceivedHead | None = None
+        self._candidate_sources: list[str] = []
+        self._min_generation = 0
         self._staged = ""
         self._is_staging = False
-        self._notified: set[str] = set()
-        self._changed = trio.Event()
-        self._offered = trio.Event()
-        self._settled = trio.Event()
-        self._heard_head = trio.Event()
+        self._notices_in_flight: set[str] = set()
+        self._activated = trio.Event()
+        self._candidate_changed = trio.Event()
+        self._may_activate = trio.Event()
+        self._first_head_received = trio.Event()
 
     @property
     def in_force(self) -> BundleInForce | None:
-        """The bundle that this process acts by; ``None`` before the first one is known."""
+        """The active bundle of this process; ``None`` before the first one is active."""
         return self._in_force
 
     @property
     def is_ready(self) -> bool:
-        """Whether a bundle is in force; a process without one serves nothing."""
+        """Whether a bundle is active; a process without one serves nothing."""
         return self._in_force is not None
 
     @property
     def generation(self) -> int:
-        """Generation in force; 0 for none."""
+        """Active generation; 0 if there is none."""
         return self._in_force.generation if self._in_force else 0
 
     async def wait_for(self, generation: int) -> BundleInForce:
-        """Wait until a generation at least as high is in force here."""
+        """Wait until this generation or a higher one is active in this process."""
         while self._in_force is None or self._in_force.generation < generation:
-            await self._changed.wait()
+            await self._activated.wait()
         return self._in_force
 
     def status(self) -> dict[str, Any]:
-        """Return what ``sassafrastally status`` shows of the bundle."""
+        """Return the bundle state that ``sassafrastally status`` shows."""
         return {
             "generation": self.generation,
             "digest": self._in_force.digest if self._in_force else "",
@@ -124,7 +124,7 @@
         }
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Register with the peers and start the tasks."""
+        """Register the peer message handlers and start the tasks."""
         self._nursery = nursery
         self._peers = cast("Peers", self.kernel.get("peers", Service))
         self._kv: Kv = self.kernel.get("platform", PlatformService).kv
@@ -134,33 +134,33 @@
         self._peers.on_link(self._on_link)
         for task in (
             self._watcher.run,
-            self._join,
-            self._settle,
-            self._adopt,
-            self._exchange,
+            self._read_initial_head,
+            self._collect_peer_heads,
+            self._activate_candidates,
+            self._run_anti_entropy,
             self._watch_clock,
         ):
             nursery.start_soon(task)
 
     def on_kv_head(self, data: bytes | None) -> None:
-        """Take the head as the KV service has it."""
+        """Handle the head from the KV service."""
         if data is not None:
-            # The KV service's generation is the least that a new process may take: a head that is
-            # refused here, since its signer was withdrawn, must not let an older one in.
+            # A new process may not activate a lower generation than that of the KV service: if the
+            # head is rejected because its signer was withdrawn, no older head may replace it.
             try:
-                self._floor = max(self._floor, decode_head(data).generation)
-            except BadEncoding as refused:
-                self._refuse(KV, refused)
+                self._min_generation = max(self._min_generation, decode_head(data).generation)
+            except BadEncoding as cause:
+                self._emit_rejected(KV, cause)
                 return
-            self._offer(data, KV)
-        self._settled.set()
+            self._receive_head(data, KV)
+        self._may_activate.set()
 
     def on_kv_signature(self, digest: str, data: bytes) -> None:
-        """Fetch the parts of a bundle that a trusted signer has signed, before it is rolled."""
+        """Prefetch the parts of a bundle that a trusted signer has signed, before it is rolled."""
         try:
             verify_signature(self._settings, digest, decode_signature(data))
-        except CodedError as refused:
-            self._refuse(KV, refused)
+        except CodedError as cause:
+            self._emit_rejected(KV, cause)
             return
         if not self._is_staging and digest != self._staged:
             self._is_staging = True
@@ -170,75 +170,76 @@
     def _known_generation(self) -> int:
         return max(self.generation, self._candidate.head.generation if self._candidate else 0)
 
-    def _offer(self, data: bytes, source: str) -> None:
-        """Take a head of unknown worth; it becomes the candidate if it is valid and higher."""
+    def _receive_head(self, data: bytes, source: str) -> None:
+        """Handle an unverified head; it becomes the candidate if it is valid and newer."""
         try:
             head = decode_head(data)
-            if head.generation <= self._known_generation or head.generation < self._floor:
-                self._on_known_generation(head, source)
+            if head.generation <= self._known_generation or head.generation < self._min_generation:
+                self._on_not_newer_head(head, source)
                 return
             verify_head(self._settings, head)
-        except CodedError as refused:
-            self._refuse(source, refused)
+        except CodedError as cause:
+            self._emit_rejected(source, cause)
             return
-        self._candidate = HeardHead(head, data, source, trio.current_time())
-        self._announcers = [source]
-        self._heard_head.set()
-        self._offered.set()
+        self._candidate = ReceivedHead(head, data, source, trio.current_time())
+        self._candidate_sources = [source]
+        self._first_head_received.set()
+        self._candidate_changed.set()
 
-    def _on_known_generation(self, head: Head, source: str) -> None:
-        """Judge a head that isn't higher than what is known."""
+    def _on_not_newer_head(self, head: Head, source: str) -> None:
+        """Handle a head whose generation isn't higher than the known one."""
         current = self._candidate.head if self._candidate else None
         digest = current.digest if current else self._in_force.digest if self._in_force else ""
-        if head.generation < self._known_generation or head.generation < self._floor:
+        if head.generation < self._known_generation or head.generation < self._min_generation:
             self.kernel.events.emit(
                 BundleHeadOutdated(source, head.generation, self._known_generation)
             )
         elif head.digest != digest:
             self._on_conflict(source, head.digest, digest)
-        elif current and source not in self._announcers[:MAX_ANNOUNCERS]:
-            self._announcers.append(source)
+        elif current and source not in self._candidate_sources[:MAX_CANDIDATE_SOURCES]:
+            self._candidate_sources.append(source)
 
     def _on_conflict(self, source: str, offered: str, digest: str) -> None:
         self.kernel.events.emit(BundleHeadConflict(source, self._known_generation, digest, offered))
 
-    def _refuse(self, source: str, reason: CodedError) -> None:
+    def _emit_rejected(self, source: str, reason: CodedError) -> None:
         self.kernel.events.emit(BundleHeadRefused(source, reason.code, reason.detail))
 
-    async def _join(self) -> None:
-        """Read the head at the start; the KV service's own answer settles what is newest."""
+    async def _read_initial_head(self) -> None:
+        """Read the head at startup; the KV service's answer determines the newest generation."""
         wait_s = RETRY_S
-        while not self._settled.is_set():
+        while not self._may_activate.is_set():
             try:
                 await self._watcher.read_head()
             except KvUnavailable:
                 await trio.sleep(self.kernel.random.uniform(0.0, wait_s))
                 wait_s = min(2 * wait_s, RETRY_CAP_S)
 
-    async def _settle(self) -> None:
-        """Let the peers' heads count after a time of collecting them.
+    async def _collect_peer_heads(self) -> None:
+        """Allow activation from peers' heads after collecting them for a while.
 
-        Failure: a process starts in a KV outage and the first peer to answer is behind. Taking its
-        head at once would put an older bundle in force than this VM had before the restart.
-        Waiting for the others' heads holds as long as one peer that answers in time is not behind.
+        Guards against this failure: a process starts during a KV outage and the first peer to
+        answer is outdated. Activating its head immediately would activate an older bundle than
+        this VM had before the restart. Collecting heads first works as long as at least one peer
+        that answers in time is up to date.
         """
-        await self._heard_head.wait()
+        await self._first_head_received.wait()
         with trio.move_on_after(self._settings.settling_s):
-            await self._settled.wait()
-        self._settled.set()
+            await self._may_activate.wait()
+        self._may_activate.set()
 
-    async def _adopt(self) -> None:
-        """Put the candidate in force once its parts are here; one bundle at a time."""
+    async def _activate_candidates(self) -> None:
+        """Activate candidates once their parts are fetched, one bundle at a time."""
         wait_s = RETRY_S
         while True:
-            await self._offered.wait()
-            await self._settled.wait()
-            self._offered = trio.Event()
+            await self._candidate_changed.wait()
+            await self._may_activate.wait()
+            self._candidate_changed = trio.Event()
             candidate = self._candidate
-            if candidate is None or candidate.head.generation < self._floor:
+            if candidate is None or candidate.head.generation < self._min_generation:
                 continue
             try:
-                await self._take(candidate)
+                await self._activate(candidate)
                 wait_s = RETRY_S
             except PartsMissing as cause:
                 head = candidate.head
@@ -247,17 +248,17 @@
                 )
                 await trio.sleep(self.kernel.random.uniform(0.0, wait_s))
                 wait_s = min(2 * wait_s, RETRY_CAP_S)
-                self._offered.set()
-            except (BadEncoding, BundleTooLarge) as refused:
-                # It was signed, but this process can't read it: the one in force stays.
-                self._refuse(candidate.source, refused)
+                self._candidate_changed.set()
+            except (BadEncoding, BundleTooLarge) as cause:
+                # The bundle is signed but this process can't read it; the active one stays active.
+                self._emit_rejected(candidate.source, cause)
 
-    async def _take(self, candidate: HeardHead) -> None:
+    async def _activate(self, candidate: ReceivedHead) -> None:
         head = candidate.head
         bundle = await fetch_bundle(
             head.digest, self._sources(candidate), self._store, self.kernel.events
         )
-        # Guards against a revert: nothing lower than what is in force is ever put in force.
+        # Guards against a revert: the active generation never decreases.
         if head.generation <= self.generation:
             return
         self._in_force = BundleInForce(head.generation, head.digest, bundle)
@@ -273,18 +274,18 @@
                 trio.current_time() - candidate.heard_s,
             )
         )
-        self._changed.set()
-        self._changed = trio.Event()
+        self._activated.set()
+        self._activated = trio.Event()
         self._nursery.start_soon(self._relay, candidate.source)
 
-    def _sources(self, candidate: HeardHead) -> list[PartSource]:
-        """Return where the candidate's parts may be had, the likeliest first."""
+    def _sources(self, candidate: ReceivedHead) -> list[PartSource]:
+        """Return the sources for the candidate's parts, most likely ones first."""
         links = self._links()
-        announcers = [link for link in links if link.peer.vm in self._announcers]
-        others = [link for link in links if link.peer.vm not in self._announcers]
+        known_holders = [link for link in links if link.peer.vm in self._candidate_sources]
+        others = [link for link in links if link.peer.vm not in self._candidate_sources]
         self.kernel.random.shuffle(others)
-        peers: list[PartSource] = [PeerSource(link) for link in announcers]
-        peers += [PeerSource(link) for link in others[:MAX_ANNOUNCERS]]
+        peers: list[PartSource] = [PeerSource(link) for link in known_holders]
+        peers += [PeerSource(link) for link in others[:MAX_CANDIDATE_SOURCES]]
         kv = KvSource(self._kv)
         return [kv, *peers] if candidate.source == KV else [*peers, kv]
 
@@ -293,7 +294,7 @@
         try:
             await fetch_bundle(digest, sources, self._store, self.kernel.events)
         except (PartsMissing, BadEncoding, BundleTooLarge):
-            # Staging only saves time: the roll fetches what is missing.
+            # Staging is only an optimization; missing parts are fetched after the roll.
             return
         finally:
             self._is_staging = False
@@ -301,15 +302,16 @@
         self.kernel.events.emit(BundleStaged(digest))
 
     def _links(self) -> list[Link]:
-        """Return one link to each peer; two processes that dial each other have two."""
+        """Return one link per peer; two processes that dial each other have two links."""
         return list({link.peer.vm: link for link in self._peers.links()}.values())
 
     async def _relay(self, source: str) -> None:
-        """Tell linked peers of the head in force: a few at once with all of it, then by hints.
+        """Relay the active head: send it to a few linked peers immediately, then notify others.
 
-        A peer that a hint finds behind answers with its own generation and so gets the head. The
-        rounds reach every peer of a node with few links, whose peers have no other one to hear
-        it from; with many links the others' relays overlap.
+        A notice without a head contains only the generation and digest; an outdated peer replies
+        with its own generation and so receives the head. With few links, the rounds reach every
+        peer, as those peers may have no other source. With many links, the relays of other peers
+        overlap.
         """
         generation = self.generation
         links = [link for link in self._links() if link.peer.vm != source]
@@ -325,14 +327,14 @@
                 self._nursery.start_soon(self._notify, link, b"")
 
     async def _send_head(self, link: Link) -> None:
-        """Send the head in force to a peer; one notice to each peer at a time."""
-        if link.peer.vm in self._notified:
+        """Send the active head to a peer, with at most one such notice in flight per peer."""
+        if link.peer.vm in self._notices_in_flight:
             return
-        self._notified.add(link.peer.vm)
+        self._notices_in_flight.add(link.peer.vm)
         try:
             await self._notify(link, self._head_bytes)
         finally:
-            self._notified.discard(link.peer.vm)
+            self._notices_in_flight.discard(link.peer.vm)
 
     async def _notify(self, link: Link, head: bytes) -> None:
         digest = self._in_force.digest if self._in_force else ""
@@ -340,17 +342,17 @@
             try:
                 await link.notify(HeadNotice(self.generation, digest, head))
             except (LinkCut, StreamEnded):
-                # The comparison at the next link brings the head.
+                # The peers compare heads again when the next link is established.
                 return
 
     async def _on_link(self, link: Link) -> None:
-        """Compare heads with a new peer: whoever is ahead answers with the whole head."""
+        """Compare heads with a newly linked peer; the newer one replies with its full head."""
         self._nursery.start_soon(self._notify, link, b"")
 
     async def _on_notice(self, peer: PeerIdentity, message: Message) -> None:
         notice = cast("HeadNotice", message)
         if notice.head:
-            self._offer(notice.head, peer.vm)
+            self._receive_head(notice.head, peer.vm)
         if notice.generation == self.generation:
             digest = self._in_force.digest if self._in_force else ""
             if notice.digest != digest and not notice.head:
@@ -362,35 +364,35 @@
         if notice.generation < self.generation:
             self._nursery.start_soon(self._send_head, link)
         elif not notice.head:
-            # The peer is ahead: it answers this lower generation with its whole head.
+            # The peer is newer: it replies to this lower generation with its full head.
             self._nursery.start_soon(self._notify, link, b"")
 
     async def _on_parts_request(self, stream: Stream, message: Message) -> None:
-        await stream.send(reply_to(cast("PartsRequest", message), self._store))
+        await stream.send(make_reply(cast("PartsRequest", message), self._store))
 
-    async def _exchange(self) -> None:
-        """Compare heads with a random peer from time to time; costs one small notice each."""
+    async def _run_anti_entropy(self) -> None:
+        """Compare heads periodically with a random peer; each comparison costs a small notice."""
         while True:
             await trio.sleep(self._settings.exchange_s * self.kernel.random.uniform(0.5, 1.5))
             if links := self._links():
                 await self._notify(self.kernel.random.choice(links), b"")
 
     async def _watch_clock(self) -> None:
-        """Read the head again after this process stood still."""
+        """Read the head again after this process was suspended."""
         last_s = trio.current_time()
         while True:
-            await trio.sleep(GAP_PROBE_S)
-            gap_s = trio.current_time() - last_s - GAP_PROBE_S
+            await trio.sleep(CLOCK_CHECK_INTERVAL_S)
+            gap_s = trio.current_time() - last_s - CLOCK_CHECK_INTERVAL_S
             last_s = trio.current_time()
-            if gap_s > GAP_S:
+            if gap_s > MIN_CLOCK_GAP_S:
                 self.kernel.events.emit(BundleClockGap(gap_s))
-                self._nursery.start_soon(self._reread)
+                self._nursery.start_soon(self._refresh_head)
 
-    async def _reread(self) -> None:
+    async def _refresh_head(self) -> None:
         for link in self._links():
             self._nursery.start_soon(self._notify, link, b"")
         try:
             await self._watcher.read_head()
         except KvUnavailable:
-            # The peers' answers and the next look at the KV service have to do.
+            # The peers' replies and the next read of the KV service cover this.
             return
--- a/packages/control/src/sassafrastally/control/store.py
+++ b/packages/control/src/sassafrastally/control/store.py
@@ -1,4 +1,4 @@
-"""Verified manifests and parts that a process holds and serves to its peers."""
+"""Store of the verified manifests and parts that a process serves to its peers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class PartStore:
-    """Holds parts by digest; nothing enters it unverified.
+    """Stores verified parts by digest.
 
-    Decoded parts are kept beside their bytes, so that a change decodes only what changed. Parts
-    that no kept bundle names are dropped by `keep_only`, which bounds the memory.
+    Decoded parts are cached with their bytes, so that a new bundle decodes only changed parts.
+    `keep_only` drops parts that no kept bundle references, which bounds memory use.
     """
 
     def __init__(self) -> None:
@@ -32,44 +32,44 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of all held manifests and parts, as encoded."""
+        """Encoded size of all stored manifests and parts."""
         return sum(map(len, self._bytes.values()))
 
     def add_manifest(self, digest: str, data: bytes) -> Manifest:
-        """Verify and keep a manifest; raises `DigestMismatch`, `BadEncoding`."""
+        """Verify and store a manifest; raises `DigestMismatch`, `BadEncoding`."""
         manifest = decode_manifest(digest, data)
         self._bytes[digest] = data
         self._manifests[digest] = manifest
         return manifest
 
     def add_part(self, digest: str, data: bytes) -> None:
-        """Verify and keep a part; raises `DigestMismatch`, `BadEncoding`."""
+        """Verify and store a part; raises `DigestMismatch`, `BadEncoding`."""
         if digest not in self._parts:
             self._parts[digest] = decode_part(digest, data)
             self._bytes[digest] = data
 
     def manifest(self, digest: str) -> Manifest | None:
-        """Return a held manifest."""
+        """Return a stored manifest, ``None`` if it isn't stored."""
         return self._manifests.get(digest)
 
     def encoded(self, digest: str) -> bytes:
-        """Return the bytes of a manifest or part; empty when it isn't held."""
+        """Return the bytes of a manifest or part; empty if it isn't stored."""
         return self._bytes.get(digest, b"")
 
     def missing(self, manifest: Manifest) -> list[str]:
-        """Return the digests of the parts that aren't held."""
+        """Return the digests of the parts that aren't stored."""
         return [digest for digest in manifest.digests if digest not in self._parts]
 
     def bundle_size_bytes(self, manifest: Manifest) -> int:
-        """Return the bytes of a bundle's parts as far as they are held."""
+        """Return the total size of those parts of a bundle that are stored."""
         return sum(len(self.encoded(digest)) for digest in manifest.digests)
 
     def assemble(self, manifest: Manifest) -> Bundle:
-        """Put a bundle together whose parts are all held; raises `BadEncoding`."""
+        """Assemble a bundle whose parts are all stored; raises `BadEncoding`."""
         return assemble_bundle(manifest, self._parts)
 
     def keep_only(self, digests: Iterable[str]) -> None:
-        """Drop all but the bundles of these digests."""
+        """Drop all bundles except those with these digests."""
         self._manifests = {
             digest: manifest
             for digest in digests
--- a/packages/control/src/sassafrastally/control/subset.py
+++ b/packages/control/src/sassafrastally/control/subset.py
@@ -1,10 +1,10 @@
-"""Which peers an entry keeps links to.
+"""Subsetting: chooses the peers to which an entry keeps links.
 
 Notes
 -----
-D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates" (1998): rendezvous
-hashing. Each name is scored on its own, so that one VM replaced by another moves one link at most
-in each subset.
+Uses rendezvous hashing: D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase Hit
+Rates" (1998). Each name is scored independently, so replacing one VM by another changes at most
+one link in each subset.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def choose_subset(owner: str, names: Iterable[str], size: int) -> frozenset[str]:
-    """Return the names that score highest for an owner; all when there are no more than `size`."""
+    """Return the `size` names that score highest for an owner; all if there are no more."""
     ranked = sorted(names, key=lambda name: (_score(owner, name), name), reverse=True)
     return frozenset(ranked[:size])
 
--- a/packages/control/src/sassafrastally/control/timeline.py
+++ b/packages/control/src/sassafrastally/control/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: events of all processes, merged into causal order."""
+"""The timeline: events of all processes, merged into causal order."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from sassafrastally.core import EventRecord
 
 RECORD_ALLOWANCE_BYTES = 512
-"""Room that is counted for a record's own encoding beyond its measured length."""
+"""Space in the reply reserved for the encoding around the records."""
 
 
 @ADMIN_METHODS.register("events")
 async def answer_events(kernel: Kernel, body: dict[str, Any]) -> dict[str, Any]:
-    """Return this process's events whose fields equal ``where``, the latest that fit a frame."""
+    """Return this process's latest events that match ``where``, as many as fit in a frame."""
     records = kernel.events.records(body.get("where"))
     kept: list[EventRecord] = []
     room_bytes = MAX_REPLY_BYTES - RECORD_ALLOWANCE_BYTES
@@ -34,12 +34,13 @@
 
 
 def merge_events(parts: Iterable[Sequence[EventRecord]]) -> list[EventRecord]:
-    """Return the events of many processes in one order that respects cause and effect.
+    """Merge the events of many processes into one causally consistent order.
 
     Notes
     -----
-    Hybrid logical stamps grow along every message, so sorting by stamp keeps each effect behind
-    its cause although wall clocks differ; the VM's name only makes the order of equals stable.
+    Hybrid logical clock timestamps increase along every message, so sorting by them puts each
+    effect after its cause even if wall clocks differ. The VM's name makes the order of equal
+    timestamps stable.
     """
     merged = [record for part in parts for record in part]
     merged.sort(key=lambda record: (record["stamp"], record["vm"]))
@@ -47,7 +48,7 @@
 
 
 def render_events(records: Sequence[EventRecord]) -> str:
-    """Return the time line as aligned text, one event a line, under a head for each second."""
+    """Render the timeline as aligned text: one line per event, a heading for each second."""
     if not records:
         return "no events\n"
     vm_width = max(len(record["vm"]) for record in records)
@@ -61,21 +62,22 @@
             last_second = second
         lines.append(
             f"  .{moment.microsecond // 1000:03d}  {record['vm']:<{vm_width}}  "
-            f"{record['number']}  {_words(record['name']):<28} {_fields(record['fields'])}".rstrip()
+            f"{record['number']}  {_spaced_words(record['name']):<28} "
+            f"{_format_fields(record['fields'])}".rstrip()
         )
     return "\n".join(lines) + "\n"
 
 
-def _words(name: str) -> str:
+def _spaced_words(name: str) -> str:
     spaced = "".join(f" {letter.lower()}" if letter.isupper() else letter for letter in name)
     return spaced.strip()
 
 
-def _fields(fields: dict[str, Any]) -> str:
-    return "  ".join(f"{name}={_short(value)}" for name, value in fields.items())
+def _format_fields(fields: dict[str, Any]) -> str:
+    return "  ".join(f"{name}={_format_value(value)}" for name, value in fields.items())
 
 
-def _short(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, float):
         return f"{value:.4g}"
     text = str(value)
--- a/packages/control/src/sassafrastally/control/watching.py
+++ b/packages/control/src/sassafrastally/control/watching.py
@@ -1,8 +1,8 @@
-"""Watching the KV service for a data centre: few processes do, by lease.
+"""Watches the KV service on behalf of a data centre: a few processes do so, each under a lease.
 
-A waiting watch counts as a call, so not every process can have one. The lease only saves calls: a
-holder that was frozen and watches beside its successor does no harm, since whatever it hears is
-verified and only a higher generation is taken.
+An open watch counts as a call, so not every process can have one. The lease only saves calls: a
+holder that was suspended and watches at the same time as its successor is harmless, because every
+head is verified and only a higher generation is accepted.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 
 
 class Listener(Protocol):
-    """Who is told what the KV service says."""
+    """Receiver of the watched values."""
 
     def on_kv_head(self, data: bytes | None) -> None:
-        """Take the head's bytes; ``None`` when there is none."""
+        """Handle the head's bytes; ``None`` if there is no head."""
         ...
 
     def on_kv_signature(self, digest: str, data: bytes) -> None:
-        """Take a new signature over a digest."""
+        """Handle a new signature over a digest."""
         ...
 
 
 class _Claim(NamedTuple):
-    """A watcher's place in its data centre."""
+    """A watcher slot of a data centre, held under a lease."""
 
     place: int
     lease_id: int
@@ -54,7 +54,7 @@
 
 
 class Watcher:
-    """Claims one of the data centre's places and watches while it holds it.
+    """Claims one of the data centre's watcher slots and watches the KV service while it holds it.
 
     Parameters
     ----------
@@ -63,9 +63,9 @@
     kv
         The KV service.
     settings
-        Number of places and times.
+        Number of slots, and times.
     listener
-        Who is told.
+        Receives the head and new signatures.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._listener = listener
 
     async def run(self) -> None:
-        """Look for a free place again and again, and watch while there is one."""
+        """Try periodically to claim a free slot, and watch while holding one."""
         wait_s = FIRST_ATTEMPT_S
         while True:
             await trio.sleep(self._kernel.random.uniform(0.0, wait_s))
@@ -90,31 +90,32 @@
             if claim is None:
                 wait_s = 2 * self._settings.watch_attempt_s
                 continue
-            await self._hold(claim)
+            await self._watch_under_lease(claim)
             wait_s = FIRST_ATTEMPT_S
 
     async def read_head(self) -> None:
-        """Read the head once and tell the listener; raises `KvUnavailable`."""
+        """Read the head once and pass it to the listener; raises `KvUnavailable`."""
         entry = await self._kv.get(HEAD, purpose=PURPOSE_SPREAD)
         self._listener.on_kv_head(entry.value if entry else None)
 
     async def _claim(self) -> _Claim | None:
-        """Take a free place; ``None`` when all are taken, after a look at the head.
+        """Claim a free slot; if there is none, read the head and return ``None``.
 
-        The look bounds how long a process stays behind whose every peer holds the news back.
+        Reading the head bounds how long a process stays outdated when all its peers withhold new
+        heads.
         """
         data_centre = self._kernel.data_centre
-        places = await self._kv.get_prefix(watcher_prefix(data_centre), purpose=PURPOSE_SPREAD)
-        taken = {entry.key for entry in places}
-        free = [
+        entries = await self._kv.get_prefix(watcher_prefix(data_centre), purpose=PURPOSE_SPREAD)
+        taken = {entry.key for entry in entries}
+        free_slots = [
             index
             for index in range(self._settings.watchers_per_data_centre)
             if watcher_key(data_centre, index) not in taken
         ]
-        if not free:
+        if not free_slots:
             await self.read_head()
             return None
-        index = free[0]
+        index = free_slots[0]
         lease_id = await self._kv.grant_lease(
             self._settings.watcher_lease_s, purpose=PURPOSE_SPREAD
         )
@@ -127,29 +128,29 @@
         revision = await self._kv.write([write], purpose=PURPOSE_SPREAD)
         return _Claim(index, lease_id, revision)
 
-    async def _hold(self, claim: _Claim) -> None:
+    async def _watch_under_lease(self, claim: _Claim) -> None:
         data_centre = self._kernel.data_centre
         self._kernel.events.emit(BundleWatchStarted(data_centre, claim.place))
         self.is_watching = True
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._watch, claim)
-                reason = await self._keep(claim)
+                reason = await self._renew_lease(claim)
                 nursery.cancel_scope.cancel()
         finally:
             self.is_watching = False
         self._kernel.events.emit(BundleWatchEnded(data_centre, reason))
 
-    async def _keep(self, claim: _Claim) -> str:
-        """Renew the lease until it is lost; return why it ended."""
+    async def _renew_lease(self, claim: _Claim) -> str:
+        """Renew the lease until it is lost; return the reason."""
         interval_s = self._settings.watcher_lease_s / RENEWALS_PER_LEASE
         renewed_s = trio.current_time()
         while True:
             await trio.sleep(interval_s)
-            asked_s = trio.current_time()
+            sent_s = trio.current_time()
             try:
                 await self._kv.keep_lease(claim.lease_id, purpose=PURPOSE_SPREAD)
-                renewed_s = asked_s
+                renewed_s = sent_s
             except LeaseLost as lost:
                 return lost.detail
             except (KvUnavailable, MaybeApplied) as failed:
@@ -157,22 +158,22 @@
                     return failed.detail
 
     async def _watch(self, claim: _Claim) -> None:
-        """Watch head and signatures; after a cut read the head again and watch anew."""
+        """Watch the head and signatures; when the watch fails, reopen it and reread the head."""
         revision = claim.revision
         while True:
             try:
                 async with self._kv.watch(
                     LIVE, from_revision=revision + 1, purpose=PURPOSE_SPREAD
                 ) as events:
-                    # The head is read after the watch stands: nothing falls between the two.
+                    # Reading the head after the watch is open ensures that no change is missed.
                     await self.read_head()
                     async for event in events:
                         revision = max(revision, event.mod_revision)
-                        self._tell(event)
+                        self._dispatch(event)
             except KvUnavailable:
                 await trio.sleep(self._kernel.random.uniform(0.0, REOPEN_S))
 
-    def _tell(self, event: KvEvent) -> None:
+    def _dispatch(self, event: KvEvent) -> None:
         if event.value is None:
             return
         if event.key == HEAD:
--- a/packages/control/tests/test_spread.py
+++ b/packages/control/tests/test_spread.py
@@ -129,7 +129,7 @@
         newborn = fleet.nodes[-1]
         await trio.sleep(10)
         newborn.service._settings = trust(fleet.keys)
-        newborn.service._offer(old, "vm0")
+        newborn.service._receive_head(old, "vm0")
         await trio.sleep(10)
         assert newborn.service.generation == 0
 
