--- a/packages/control/benchmarks/bundle_processes.py
+++ b/packages/control/benchmarks/bundle_processes.py
@@ -1,8 +1,9 @@
-"""Measures on the real clock how soon a rolled bundle is in force in many processes.
+"""Measures on the real clock how soon a rolled bundle is active in many processes.
 
-Run as ``python packages/control/benchmarks/bundle_processes.py``. Starts the KV stand-in and the
-nodes as processes on the loopback, rolls bundles of 5,000 customers and compares the nodes' times
-with the time of acceptance. At the last roll the KV stand-in is killed right after acceptance.
+Run as ``python packages/control/benchmarks/bundle_processes.py``. Starts the fake KV server and the
+nodes as processes on the loopback interface, rolls bundles of 5,000 customers and compares the
+nodes' activation times with the time of acceptance. The KV server is killed right after it accepts
+the last roll.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 NODES = 23
 ENTRIES = 3
-"""Nodes to which the others dial, as sidecars are linked to entries only."""
+"""Number of nodes that the others dial, as sidecars link only to entries."""
 CUSTOMERS = 5_000
 ROLLS = 5
 KV_PORT = 19_400
@@ -47,15 +48,15 @@
 SETTLE_S = 8.0
 
 
-class Taken(NamedTuple):
-    """When a node had a generation in force, on the machine's wall clock."""
+class Activation(NamedTuple):
+    """Activation of a generation on a node, with the machine's wall-clock time."""
 
     generation: int
     wall_s: float
 
 
 def main() -> None:
-    """Run the measurement, or one node of it when a number is given."""
+    """Run the benchmark, or one of its nodes if a number is given."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     if len(sys.argv) > 1:
         trio.run(_run_node, int(sys.argv[1]))
@@ -68,18 +69,18 @@
         for process in (kv, *nodes):
             process.kill()
     outputs = [process.communicate()[0] for process in nodes]
-    taken = [_parse(output) for output in outputs]
+    activations = [_parse(output) for output in outputs]
     for generation, wall_s in enumerate(accepted, start=1):
-        delays = [found[generation] - wall_s for found in taken if generation in found]
-        lost = ", KV service killed at acceptance" if generation == len(accepted) else ""
+        delays = [found[generation] - wall_s for found in activations if generation in found]
+        kv_note = ", KV service killed at acceptance" if generation == len(accepted) else ""
         print(
-            f"generation {generation}{lost}: {len(delays)} of {NODES} processes, in force after"
-            f" median {statistics.median(delays or [-1]):.2f} s, most {max(delays or [-1]):.2f} s"
+            f"generation {generation}{kv_note}: {len(delays)} of {NODES} processes, active after"
+            f" median {statistics.median(delays or [-1]):.2f} s, max {max(delays or [-1]):.2f} s"
         )
 
 
 async def _roll_all(kv_process: subprocess.Popen[str]) -> list[float]:
-    """Roll several bundles; return the times of acceptance."""
+    """Roll several bundles; return their acceptance times."""
     settings = KvSettings(Address(LOOPBACK, KV_PORT), budgets=(PurposeBudget("admin", 500, 900),))
     kv = EtcdKv(settings, random.SystemRandom())
     accepted: list[float] = []
@@ -133,8 +134,10 @@
 
 
 def _parse(output: str) -> dict[int, float]:
-    lines = [Taken(int(line.split()[0]), float(line.split()[1])) for line in output.splitlines()]
-    return {taken.generation: taken.wall_s for taken in lines}
+    lines = [
+        Activation(int(line.split()[0]), float(line.split()[1])) for line in output.splitlines()
+    ]
+    return {activation.generation: activation.wall_s for activation in lines}
 
 
 def _start(*words: Any) -> subprocess.Popen[str]:
--- a/packages/control/benchmarks/bundle_spread.py
+++ b/packages/control/benchmarks/bundle_spread.py
@@ -1,7 +1,7 @@
-"""Measures the spread of bundles: time to be in force, bytes and processor time for a change.
+"""Measures bundle distribution: activation time, bytes sent and CPU time for a change.
 
-Run as ``python packages/control/benchmarks/bundle_spread.py``. Times to be in force are those of
-the mock clock with a millisecond of latency; processor times are real.
+Run as ``python packages/control/benchmarks/bundle_spread.py``. Activation times are on the mock
+clock with 1 ms of latency, unless printed as real clock; CPU times are real.
 """
 
 from __future__ import annotations
@@ -31,28 +31,29 @@
 
 
 def main() -> None:
-    """Print all figures."""
+    """Run the benchmark and print its results."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     conftest = _load_conftest()
     for nodes in (NODES // 2, NODES):
-        for is_kv_lost in (False, True):
-            times = trio.run(_times_to_force, conftest, nodes, is_kv_lost, clock=MockClock(0.0, 0))
+        for is_kv_cut in (False, True):
+            times = trio.run(_activation_times, conftest, nodes, is_kv_cut, clock=MockClock(0.0, 0))
             print(
                 f"{nodes} nodes, {ROLLS} rolls, KV service"
-                f" {'heard by one watcher only' if is_kv_lost else 'up'}: in force everywhere after"
-                f" median {statistics.median(times):.2f} s, most {max(times):.2f} s (mock clock)"
+                f" {'reachable by one watcher only' if is_kv_cut else 'up'}: active on all nodes"
+                f" after median {statistics.median(times):.2f} s, max {max(times):.2f} s"
+                " (mock clock)"
             )
-    real_s = trio.run(_times_to_force, conftest, NODES, False, CUSTOMERS)
+    real_s = trio.run(_activation_times, conftest, NODES, False, CUSTOMERS)
     print(
-        f"{NODES} nodes in one process, real clock, {CUSTOMERS} customers: in force everywhere"
-        f" after median {statistics.median(real_s):.2f} s, most {max(real_s):.2f} s"
+        f"{NODES} nodes in one process, real clock, {CUSTOMERS} customers: active on all nodes"
+        f" after median {statistics.median(real_s):.2f} s, max {max(real_s):.2f} s"
     )
-    trio.run(_bytes_per_node, conftest, clock=MockClock(0.0, 0))
-    _processor_time(conftest)
+    trio.run(_measure_bytes_per_node, conftest, clock=MockClock(0.0, 0))
+    _measure_cpu_time(conftest)
 
 
-async def _times_to_force(
-    conftest: Any, nodes: int, is_kv_lost: bool, customers: int = 10
+async def _activation_times(
+    conftest: Any, nodes: int, is_kv_cut: bool, customers: int = 10
 ) -> list[float]:
     times: list[float] = []
     async with trio.open_nursery() as nursery:
@@ -60,11 +61,11 @@
         await fleet.add(nodes, data_centres=("cordon", "prado", "cerro"))
         for roll in range(ROLLS + 1):
             await trio.sleep(10)
-            if is_kv_lost and roll:
+            if is_kv_cut and roll:
                 _cut_all_but_one_watcher(fleet)
             await fleet.roll(conftest.make_bundle(customers=customers, share=1.0 + roll))
             started_s = trio.current_time()
-            await fleet.everywhere(roll + 1, within_s=60)
+            await fleet.wait_everywhere(roll + 1, within_s=60)
             if roll:
                 times.append(trio.current_time() - started_s)
             for node in fleet.nodes:
@@ -80,36 +81,36 @@
             node.kv.cut()
 
 
-async def _bytes_per_node(conftest: Any) -> None:
-    """Count bytes of heads and parts that the nodes send while one customer of many changes."""
+async def _measure_bytes_per_node(conftest: Any) -> None:
+    """Count the bytes of heads and parts that nodes send when one customer changes."""
     async with trio.open_nursery() as nursery:
         fleet = conftest.Fleet(nursery, seed=7)
         await fleet.add(NODES, data_centres=("cordon", "prado", "cerro"))
         await fleet.roll(conftest.make_bundle(customers=CUSTOMERS))
-        await fleet.everywhere(1, within_s=60)
+        await fleet.wait_everywhere(1, within_s=60)
         await trio.sleep(20)
-        idle, changed = _Counter(fleet), _Counter(fleet)
+        idle, changed = _ByteCounter(fleet), _ByteCounter(fleet)
         idle.start()
         await trio.sleep(20)
         idle.stop()
         fleet.model.counts.clear()
         changed.start()
         await fleet.roll(conftest.make_bundle(customers=CUSTOMERS, share=2.0))
-        await fleet.everywhere(2, within_s=60)
+        await fleet.wait_everywhere(2, within_s=60)
         await trio.sleep(5)
         changed.stop()
         nursery.cancel_scope.cancel()
     print(f"whole bundle {fleet.nodes[0].service.status()['held_bytes']} bytes")
-    print(f"at rest: {idle.size_bytes / NODES / 20:.1f} bytes/s sent per node")
+    print(f"idle: {idle.size_bytes / NODES / 20:.1f} bytes/s sent per node")
     print(
         f"one change: {changed.size_bytes / NODES:.0f} bytes sent per node on average,"
-        f" {max(changed.by_node.values())} by the node that sent most;"
+        f" at most {max(changed.by_node.values())} by one node;"
         f" KV calls {dict(fleet.model.counts)}"
     )
 
 
-class _Counter:
-    """Counts the head notices and parts that nodes send, by their content's bytes."""
+class _ByteCounter:
+    """Counts the encoded bytes of the head notices and parts that nodes send."""
 
     def __init__(self, fleet: Any) -> None:
         self.by_node = dict.fromkeys((node.vm for node in fleet.nodes), 0)
@@ -119,15 +120,15 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of all nodes."""
+        """Bytes sent by all nodes."""
         return sum(self.by_node.values())
 
     def start(self) -> None:
-        """Count from now on."""
+        """Start counting."""
         self._is_on = True
 
     def stop(self) -> None:
-        """Count no longer."""
+        """Stop counting."""
         self._is_on = False
 
     def _wrap(self, node: Any) -> None:
@@ -140,12 +141,12 @@
             await notify(link, head)
 
         async def counted_serve(stream: Any, message: Any) -> None:
-            class Tap:
+            class CountingStream:
                 async def send(self, reply: PartsReply) -> None:
                     count(node.vm, reply)
                     await stream.send(reply)
 
-            await serve(Tap(), message)
+            await serve(CountingStream(), message)
 
         service._notify = counted_notify
         node.peers._stream_handlers[PartsRequest] = counted_serve
@@ -155,7 +156,7 @@
             self.by_node[vm] += len(encode_frame(Frame(1, 1, message)))
 
 
-def _processor_time(conftest: Any) -> None:
+def _measure_cpu_time(conftest: Any) -> None:
     key = make_key("ana")
     settings = conftest.settings_for([key])
     before = conftest.make_bundle(customers=CUSTOMERS)
@@ -178,8 +179,8 @@
     print(
         f"{CUSTOMERS} customers, {len(new.parts)} parts: a change is {changed} bytes of parts"
         f" and {len(new.manifest)} of manifest; verify and apply"
-        f" {statistics.median(change_s) * 1e3:.1f} ms of processor time (median of {REPEATS});"
-        f" the whole bundle anew {whole_s * 1e3:.0f} ms;"
+        f" {statistics.median(change_s) * 1e3:.1f} ms of CPU time (median of {REPEATS});"
+        f" the whole bundle from scratch {whole_s * 1e3:.0f} ms;"
         f" packing {_timed(lambda: pack_bundle(after)) * 1e3:.0f} ms"
     )
 
--- a/packages/control/benchmarks/placement.py
+++ b/packages/control/benchmarks/placement.py
@@ -1,8 +1,8 @@
-"""Measures placement over a whole deployment on the mock clock.
+"""Measures placement in a whole deployment on the mock clock.
 
-Prints the KV calls a minute that an idle holder, an idle candidate, another entry and the sidecars
-make for placement, how long a change of version takes with the outcomes of requests meanwhile, and
-the processor time of the holder's round over many engines.
+Prints the KV calls per minute that an idle holder, an idle candidate, another entry and the
+sidecars make for placement, the duration of a version change with the outcomes of the requests
+during it, and the CPU time of the holder's round over many engines.
 
     python packages/control/benchmarks/placement.py --replicas 20
 """
@@ -48,14 +48,14 @@
 SETTLE_S = 60.0
 IDLE_S = 600.0
 REQUEST_GAP_S = 0.25
-SECONDS_A_MINUTE = 60.0
+SECONDS_PER_MINUTE = 60.0
 MODELS = 12
 MIN_REPLICAS = 20
 ROUNDS = 20
 
 
 class CountingKv(FakeKv):
-    """The KV service as one process calls it, counting its calls by purpose."""
+    """Fake KV client of one process that counts its calls by purpose."""
 
     def __init__(self, model: Any) -> None:
         super().__init__(model)
@@ -85,7 +85,7 @@
         return kernel
 
     def calls(self) -> Counter[str]:
-        """Return the calls for placement so far, by VM."""
+        """Return the number of calls for placement so far, by VM."""
         counted = {}
         for vm, node in self.nodes.items():
             kv = node.kernel.get("platform", PlatformService).kv
@@ -105,7 +105,7 @@
 
 
 async def measure(replicas: int) -> None:
-    """Run the measurement and print its figures."""
+    """Run the deployment benchmark and print its results."""
     vms = [VmSpec(f"entry-{i}", "entry") for i in range(ENTRIES)]
     vms += [VmSpec(f"engine-{i:04d}", "sidecar") for i in range(replicas)]
     shape = DeploymentShape(tuple(vms), make_bundle("1"), EngineShape(models=(MODEL,)))
@@ -124,13 +124,13 @@
     before = deployment.calls()
     await trio.sleep(IDLE_S)
     after = deployment.calls()
-    print(f"KV calls for placement a minute, idle, over {IDLE_S:.0f} s:")
+    print(f"KV calls per minute for placement, idle, over {IDLE_S:.0f} s:")
     for vm, node in deployment.nodes.items():
         if node.spec.role == "entry":
-            rate = (after[vm] - before[vm]) * SECONDS_A_MINUTE / IDLE_S
+            rate = (after[vm] - before[vm]) * SECONDS_PER_MINUTE / IDLE_S
             print(f"  {vm}{' (holder)' if deployment.fence(vm) else ''}: {rate:.1f}")
     sidecars = sum(after[vm] - before[vm] for vm in deployment.engines)
-    print(f"  all sidecars together: {sidecars * SECONDS_A_MINUTE / IDLE_S:.1f}")
+    print(f"  all sidecars together: {sidecars * SECONDS_PER_MINUTE / IDLE_S:.1f}")
 
 
 async def _measure_change(deployment: MeasuredDeployment) -> None:
@@ -138,25 +138,25 @@
     before = sum(deployment.calls().values())
     began_s = trio.current_time()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_load, deployment, outcomes)
+        nursery.start_soon(_run_load, deployment, outcomes)
         await deployment.roll(make_bundle("2"))
-        wanted = (f"{MODEL}@2",)
-        while any(one.placement.models != wanted for one in deployment.engines.values()):
+        expected = (f"{MODEL}@2",)
+        while any(one.placement.models != expected for one in deployment.engines.values()):
             await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     took_s = trio.current_time() - began_s
     calls = sum(deployment.calls().values()) - before
-    print(f"change of version over {len(deployment.engines)} replicas: {took_s:.1f} s,")
+    print(f"version change over {len(deployment.engines)} replicas: {took_s:.1f} s,")
     print(f"  {calls} KV calls for placement, requests by outcome {dict(outcomes)}")
 
 
-async def _load(deployment: MeasuredDeployment, outcomes: Counter[str]) -> None:
+async def _run_load(deployment: MeasuredDeployment, outcomes: Counter[str]) -> None:
     while True:
-        outcomes[await _ask(deployment)] += 1
+        outcomes[await _send_request(deployment)] += 1
         await trio.sleep(REQUEST_GAP_S)
 
 
-async def _ask(deployment: MeasuredDeployment) -> str:
+async def _send_request(deployment: MeasuredDeployment) -> str:
     path = deployment.node("entry-0").kernel.get("path", RequestPath)
     request = CallerRequest(
         customer=deployment.shape.bundle.customers[0],
@@ -179,36 +179,36 @@
 
 
 async def measure_round(engines: int) -> None:
-    """Print the processor time of the holder's round over synthetic engines."""
+    """Print the CPU time of the holder's round over synthetic engines."""
     states = [
         VmState(f"engine-{i}", "sidecar", "dc", "region", Address("127.0.0.1", 1))
         for i in range(engines)
     ]
     models = [Model(f"model-{i}", "1", 1_000, MIN_REPLICAS) for i in range(MODELS)]
 
-    class Everyone:
+    class FakeMembership:
         def vms(self, _role: str) -> list[VmState]:
             return states
 
         def is_leaving(self, _vm: str) -> bool:
             return False
 
-    class Answers:
+    class FakeSender:
         async def observe(self, state: VmState) -> PlacementReply:
             number = int(state.vm.partition("-")[2]) % MODELS
             return PlacementReply("done", 1, (f"model-{number}@1",), "general")
 
     settings = PlacementSettings()
-    fleet = EngineFleet(Everyone(), Answers(), settings.absent_s)  # type: ignore[arg-type]
+    fleet = EngineFleet(FakeMembership(), FakeSender(), settings.absent_s)  # type: ignore[arg-type]
     kernel = Kernel("entry", "dc", seed=0)
-    work = PlacementWork(kernel, fleet, Answers(), None, settings)  # type: ignore[arg-type]
-    await fleet.ask_next(0)
+    work = PlacementWork(kernel, fleet, FakeSender(), None, settings)  # type: ignore[arg-type]
+    await fleet.poll_next(0)
     lines = next_lines(models, fleet.engines({}), {}, settings.wave_share)
     began_s = time.process_time()
     for _ in range(ROUNDS):
-        await fleet.ask_next(settings.questions_per_round)
-        work.adopt(models, lines)
-        work.due()
+        await fleet.poll_next(settings.questions_per_round)
+        work.update(models, lines)
+        work.claim_due()
         fleet.engines(lines)
     idle_s = (time.process_time() - began_s) / ROUNDS
     newer = [model._replace(version="2") for model in models]
@@ -216,12 +216,12 @@
     for _ in range(ROUNDS):
         next_lines(newer, fleet.engines(lines), lines, settings.wave_share)
     change_s = (time.process_time() - began_s) / ROUNDS
-    print(f"holder's round over {engines} engines: {idle_s * 1000:.1f} ms of processor time,")
-    print(f"  next lines while all change: {change_s * 1000:.1f} ms more")
+    print(f"holder's round over {engines} engines: {idle_s * 1000:.1f} ms of CPU time,")
+    print(f"  computing the next lines while all engines change: {change_s * 1000:.1f} ms more")
 
 
 def main() -> None:
-    """Run the measurement."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--replicas", type=int, default=20)
     parser.add_argument("--engines", type=int, default=1500)
--- a/packages/control/src/sassafrastally/control/__init__.py
+++ b/packages/control/src/sassafrastally/control/__init__.py
@@ -1,4 +1,4 @@
-"""Bundles, their spread, membership, placement and operators' questions to processes."""
+"""Control plane: bundles and their distribution, membership, placement and admin queries."""
 
 from __future__ import annotations
 
--- a/packages/control/src/sassafrastally/control/lease_holder.py
+++ b/packages/control/src/sassafrastally/control/lease_holder.py
@@ -1,10 +1,11 @@
-"""One holder at a time for a duty, by a lease in the KV service under a fencing number.
+"""Leader election for a task by a lease in the KV service, with fencing numbers.
 
 Notes
 -----
-The lease only chooses a holder: one that was frozen past its lease may still act for a moment.
-Whoever takes its orders therefore compares fencing numbers, and every write of the holder to the
-KV service is conditional on the fence key, which the next holder's first write changes.
+The lease alone doesn't ensure mutual exclusion: a holder that was suspended past its lease may
+still act for a moment. Receivers of its orders therefore compare fencing numbers, and every write
+of the holder to the KV service is conditional on the fence key, which the next holder's first write
+changes.
 """
 
 from __future__ import annotations
@@ -35,37 +36,38 @@
 
 @error(4400)
 class TenureOver(CodedError):
-    """The holder's lease has lapsed or another holder took over: it must not act any more."""
+    """The holder's lease has expired or another holder took over; it must stop acting."""
 
 
 class Fence(NamedTuple):
     """Value of the fence key."""
 
     number: int
-    """Fencing number of the last holder; only grows."""
+    """Fencing number of the last holder; increases monotonically."""
     vm: str
-    """Last holder, for people who look."""
+    """VM of the last holder, for diagnosis."""
     token: str
-    """Names the last write, so that its writer finds it after a lost answer."""
+    """Identifies the last write, so that its writer recognizes it after a lost response."""
 
 
 class HolderKeys(NamedTuple):
-    """Keys and budget of one duty."""
+    """Keys and KV call budget of one task."""
 
     fence: str
-    """Stays for ever."""
+    """Key of the fence; it is never deleted."""
     holder: str
-    """Hangs on the holder's lease."""
+    """Key attached to the holder's lease."""
     purpose: str
+    """Purpose under which KV calls are budgeted."""
 
 
 def encode_fence(fence: Fence) -> bytes:
-    """Return the value of a fence key."""
+    """Encode the value of a fence key."""
     return canonical_bytes(fence._asdict())
 
 
 def decode_fence(data: bytes) -> Fence:
-    """Return the fence that a value holds; raises `BadEncoding`."""
+    """Decode the value of a fence key; raises `BadEncoding`."""
     fence, problems = check_table(load_object(data, MAX_FENCE_BYTES, "fence"), Fence)
     if fence is None:
         raise BadEncoding(f"fence: {problems[0]}")
@@ -73,7 +75,7 @@
 
 
 class Tenure:
-    """One holder's time under one fencing number; made by `LeaseHolder.acquire`.
+    """One holder's term under one fencing number; created by `LeaseHolder.acquire`.
 
     Parameters
     ----------
@@ -82,13 +84,13 @@
     kv
         The KV service.
     keys
-        Keys of the duty.
+        Keys of the task.
     fence
         The fencing number.
     lease_id
-        The lease.
+        ID of the lease.
     lease_s
-        Its time to live.
+        Time to live of the lease.
     """
 
     def __init__(
@@ -106,61 +108,62 @@
 
     @property
     def margin_s(self) -> float:
-        """How long before the lease's end the holder stops acting."""
+        """Time before the lease's expiry at which the holder stops acting."""
         return self._lease_s / (2 * RENEWALS_PER_LEASE)
 
-    def confirm(self, asked_s: float) -> None:
-        """Note that the lease was granted or renewed by a call sent at a time."""
-        self._valid_until_s = asked_s + self._lease_s - self.margin_s
+    def confirm(self, sent_s: float) -> None:
+        """Record that the lease was granted or renewed by a call sent at the given time."""
+        self._valid_until_s = sent_s + self._lease_s - self.margin_s
 
     def check(self) -> None:
-        """Raise `TenureOver` unless the lease holds for at least the margin by the own clock.
+        """Raise `TenureOver` unless the lease is valid for at least the margin by the local clock.
 
-        Guards against a holder that was frozen past its lease: it would go on with the orders of
-        its last decision. The check narrows the window; the fencing number closes it.
+        Guards against a holder that was suspended past its lease and would continue to send the
+        orders of its last decision. The check narrows the window; the fencing number closes it.
         """
         if self._ended:
             raise TenureOver(self._ended)
         if self._kernel.clock.now_s() >= self._valid_until_s:
-            self.end("the lease wasn't renewed in time")
+            self.end("the lease was not renewed in time")
             raise TenureOver(self._ended)
 
     def end(self, reason: str) -> None:
-        """Note that another holder took over."""
+        """Mark the tenure as ended; the first reason is kept."""
         self._ended = self._ended or reason
 
     async def keep(self) -> None:
-        """Renew the lease until the tenure is over; raises `TenureOver` then."""
+        """Renew the lease until the tenure ends; raises `TenureOver` then."""
         while True:
             await trio.sleep(self._lease_s / RENEWALS_PER_LEASE)
             self.check()
-            asked_s = self._kernel.clock.now_s()
+            sent_s = self._kernel.clock.now_s()
             try:
                 with trio.move_on_after(self._lease_s / RENEWALS_PER_LEASE):
                     await self._kv.keep_lease(self.lease_id, purpose=self._keys.purpose)
-                    self.confirm(asked_s)
+                    self.confirm(sent_s)
             except LeaseLost as lost:
                 self.end(lost.detail)
             except (KvUnavailable, MaybeApplied):
-                pass  # The next renewal tries again; `check` bounds how often.
+                pass  # The next renewal retries; `check` ends the tenure at the lease's expiry.
             self.check()
 
     async def write(self, writes: Sequence[KvWrite] = (), expected_revision: int = -1) -> None:
-        """Write under the fence: nothing is written when another holder took over.
+        """Write under the fence; nothing is written if another holder took over.
 
         Parameters
         ----------
         writes
-            What is written beside the fence key; unconditional, since the fence key guards them.
+            Writes in the same transaction as the fence key, which guards them; they need no
+            condition of their own.
         expected_revision
-            Revision of the fence key for the write that begins the tenure.
+            Revision of the fence key for the write that starts the tenure.
 
         Raises
         ------
         TenureOver
             When another holder raised the fence.
         KvUnavailable, MaybeApplied
-            When the KV service doesn't answer.
+            When the KV service doesn't respond.
         """
         token = f"{self._kernel.random.getrandbits(TOKEN_BITS):016x}"
         value = encode_fence(Fence(self.fence, self._kernel.vm, token))
@@ -183,17 +186,17 @@
             raise TenureOver(self._ended) from lost
 
     async def resign(self) -> None:
-        """Give the lease back, so that the next holder needn't wait for its end."""
+        """Revoke the lease, so that the next holder doesn't have to wait until it expires."""
         self.end("resigned")
         with trio.move_on_after(REVOKE_TIME_LIMIT_S):
             try:
                 await self._kv.revoke_lease(self.lease_id, purpose=self._keys.purpose)
             except _KV_ERRORS:
-                return  # It lapses by itself.
+                return  # The lease expires by itself.
 
 
 class LeaseHolder:
-    """Takes a duty's lease and raises its fence.
+    """Acquires a task's lease and raises its fence.
 
     Parameters
     ----------
@@ -202,7 +205,7 @@
     kv
         The KV service.
     keys
-        Keys of the duty.
+        Keys of the task.
     lease_s
         Time to live of the lease.
     """
@@ -214,26 +217,26 @@
         self._lease_s = lease_s
 
     async def acquire(self) -> Tenure | None:
-        """Return a tenure under a new fencing number; ``None`` when there is a holder.
+        """Return a tenure under a new fencing number; ``None`` if there is a holder.
 
         Raises
         ------
         KvUnavailable, MaybeApplied
-            When the KV service doesn't answer.
+            When the KV service doesn't respond.
         TenureOver
-            When another candidate came first.
+            When another candidate acquired the lease first.
         BadEncoding
-            When the fence key holds something else.
+            When the value of the fence key is malformed.
         """
         keys, purpose = self._keys, self._keys.purpose
         if await self._kv.get(keys.holder, purpose=purpose) is not None:
             return None
         entry = await self._kv.get(keys.fence, purpose=purpose)
         last = decode_fence(entry.value).number if entry else 0
-        asked_s = self._kernel.clock.now_s()
+        sent_s = self._kernel.clock.now_s()
         lease_id = await self._kv.grant_lease(self._lease_s, purpose=purpose)
         tenure = Tenure(self._kernel, self._kv, keys, last + 1, lease_id, self._lease_s)
-        tenure.confirm(asked_s)
+        tenure.confirm(sent_s)
         holder = KvWrite(keys.holder, self._kernel.vm.encode(), 0, lease_id)
         try:
             await tenure.write([holder], expected_revision=entry.mod_revision if entry else 0)
--- a/packages/control/src/sassafrastally/control/placement.py
+++ b/packages/control/src/sassafrastally/control/placement.py
@@ -1,7 +1,8 @@
-"""Placement: which engine serves which model, version, adapter and role.
+"""Placement: assigns models, versions, adapters and roles to engines.
 
-One holder computes it, writes it to the KV service and sends orders to the sidecars. In an outage
-of the KV service there is no holder: placement stands still and serving goes on.
+One process, the holder, computes the placement, writes it to the KV service and sends orders to the
+sidecars. During an outage of the KV service there is no holder: placement doesn't change, and
+serving continues.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
 
 
 class PlacementService(Service):
-    """Takes part in choosing the holder and does its work while this process is it.
+    """Competes for the placement lease and runs placement while this process holds it.
 
     Parameters
     ----------
     settings
-        Times and bounds.
+        Timing and bounds.
     """
 
     name: ClassVar[str] = "placement"
@@ -57,16 +58,16 @@
         self._tenure: Tenure | None = None
         self._lines: dict[str, EngineLine] = {}
         self._models: tuple[Model, ...] = ()
-        self._settled: tuple[int, list[EngineView]] | None = None
-        """Generation and engines for which the lines were found to stand."""
+        self._unchanged_for: tuple[int, list[EngineView]] | None = None
+        """Generation and engines for which the lines were last found to need no change."""
 
     @property
     def fence(self) -> int:
-        """Fencing number under which this process holds placement; 0 when it doesn't."""
+        """Fencing number under which this process holds placement; 0 if it isn't the holder."""
         return self._tenure.fence if self._tenure else 0
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Begin to look for a holder."""
+        """Start competing for the lease."""
         kernel = self.kernel
         platform = kernel.get("platform", PlatformService)
         self._kv = platform.kv
@@ -78,12 +79,12 @@
         nursery.start_soon(self._run)
 
     async def stop(self) -> None:
-        """Give the lease back."""
+        """Revoke the lease if this process holds it."""
         if self._tenure is not None:
             await self._tenure.resign()
 
     def status(self) -> dict[str, Any]:
-        """Return figures for the operators."""
+        """Return the placement state that operators see."""
         return {"fence": self.fence, "lines": len(self._lines) if self._tenure else 0}
 
     async def _run(self) -> None:
@@ -100,12 +101,12 @@
                 self.kernel.events.emit(PlacementUnreadable(cause.detail))
                 continue
             if tenure is not None:
-                await self._hold(tenure)
+                await self._run_tenure(tenure)
 
     def _is_candidate(self) -> bool:
-        """Return whether this entry is among the few that look for a holder's lease.
+        """Return whether this entry is one of the few that compete for the lease.
 
-        It saves calls and decides nothing: entries that differ on who is listed may all try.
+        This only saves calls: entries with different views of the VM list may all compete safely.
         """
         names = [
             state.vm
@@ -115,68 +116,68 @@
         names.sort(key=lambda vm: blake2b(vm.encode(), digest_size=RANK_BYTES).digest())
         return self.kernel.vm in names[: self._settings.candidates]
 
-    async def _hold(self, tenure: Tenure) -> None:
+    async def _run_tenure(self, tenure: Tenure) -> None:
         self._tenure = tenure
         self.kernel.events.emit(PlacementHolderBegan(tenure.fence))
-        reason = "the KV service doesn't answer"
+        reason = "the KV service doesn't respond"
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(tenure.keep)
-                nursery.start_soon(self._place, tenure)
+                nursery.start_soon(self._run_rounds, tenure)
         except* TenureOver as over:
-            reason = _first(over)
+            reason = _first_detail(over)
         except* (KvUnavailable, MaybeApplied):
-            pass  # What was written isn't known for sure: the next tenure reads it again.
+            pass  # The outcome of the last write is unknown; the next tenure rereads the record.
         except* BadEncoding as cause:
-            self.kernel.events.emit(PlacementUnreadable(_first(cause)))
+            self.kernel.events.emit(PlacementUnreadable(_first_detail(cause)))
         finally:
             self._tenure = None
         self.kernel.events.emit(PlacementHolderEnded(tenure.fence, reason))
         await tenure.resign()
 
-    async def _place(self, tenure: Tenure) -> None:
-        """Look again and again at what the engines run and what they are to run."""
+    async def _run_rounds(self, tenure: Tenure) -> None:
+        """Run rounds that poll engines, update the record and send orders."""
         settings = self._settings
-        self._lines, self._settled = await read_lines(self._kv), None
+        self._lines, self._unchanged_for = await read_lines(self._kv), None
         times = OrderTimes(settings.question_time_limit_s, settings.order_time_limit_s)
         sender = OrderSender(self._peers, tenure, times)
         fleet = EngineFleet(self._membership, sender, settings.absent_s)
         async with trio.open_nursery() as nursery:
             work = PlacementWork(self.kernel, fleet, sender, self._weight_store, settings)
             while True:
-                await fleet.ask_next(settings.questions_per_round)
+                await fleet.poll_next(settings.questions_per_round)
                 await self._update_record(tenure, fleet)
-                work.adopt(self._models, self._lines)
-                for vm in work.due():
+                work.update(self._models, self._lines)
+                for vm in work.claim_due():
                     nursery.start_soon(work.advance, vm)
                 await trio.sleep(settings.round_s)
                 tenure.check()
 
     async def _update_record(self, tenure: Tenure, fleet: EngineFleet) -> None:
-        """Write the next lines; a bundle without models says nothing about placement."""
+        """Write the next lines; a bundle without models leaves placement unchanged."""
         in_force = self._bundle.in_force
         if in_force is None or not in_force.bundle.models:
             return
         self._models = in_force.bundle.models
         engines = fleet.engines(self._lines)
-        if (in_force.generation, engines) == self._settled:
+        if (in_force.generation, engines) == self._unchanged_for:
             return
         after = next_lines(self._models, engines, self._lines, self._settings.wave_share)
         changed = sum(
             1 for vm in after.keys() | self._lines.keys() if after.get(vm) != self._lines.get(vm)
         )
         if not changed:
-            self._settled = (in_force.generation, engines)
+            self._unchanged_for = (in_force.generation, engines)
             return
-        self._settled = None
+        self._unchanged_for = None
         tenure.check()
         await write_lines(tenure, self._lines, after)
         self._lines = after
         self.kernel.events.emit(PlacementRecorded(tenure.fence, in_force.generation, changed))
 
 
-def _first(group: BaseExceptionGroup[CodedError]) -> str:
-    """Return the detail of the first error of a group."""
+def _first_detail(group: BaseExceptionGroup[CodedError]) -> str:
+    """Return the detail of the first error in a group."""
     first: BaseException = group
     while isinstance(first, BaseExceptionGroup):
         first = first.exceptions[0]
--- a/packages/control/src/sassafrastally/control/placement_events.py
+++ b/packages/control/src/sassafrastally/control/placement_events.py
@@ -9,14 +9,14 @@
 
 @event(4401)
 class PlacementHolderBegan(NamedTuple):
-    """This process holds placement from now on."""
+    """This process became the placement holder."""
 
     fence: int
 
 
 @event(4402)
 class PlacementHolderEnded(NamedTuple):
-    """This process no longer holds placement."""
+    """This process is no longer the placement holder."""
 
     fence: int
     reason: str
@@ -24,17 +24,17 @@
 
 @event(4403)
 class PlacementRecorded(NamedTuple):
-    """The lines of some engines were changed in the record."""
+    """The placement record was updated for some engines."""
 
     fence: int
     generation: int
     changed: int
-    """Engines whose line is another than before."""
+    """Number of engines whose line changed."""
 
 
 @event(4404)
 class PlacementOrdered(NamedTuple):
-    """An order was carried out by a sidecar."""
+    """A sidecar executed an order."""
 
     fence: int
     peer: str
@@ -45,7 +45,7 @@
 
 @event(4405, "warning")
 class PlacementOrderFailed(NamedTuple):
-    """An order was not carried out, or no answer came; it is tried again later."""
+    """An order failed or got no reply; it is retried later."""
 
     fence: int
     peer: str
@@ -57,7 +57,7 @@
 
 @event(4406, "warning")
 class PlacementHeldBack(NamedTuple):
-    """An unload waits: it would leave a model fewer ready replicas than the bundle demands."""
+    """An unload is delayed: the model would have fewer ready replicas than the bundle requires."""
 
     peer: str
     model: str
@@ -66,14 +66,14 @@
 
 @event(4407, "warning")
 class WeightStoreLost(NamedTuple):
-    """The weight store doesn't answer: nothing is loaded until it does."""
+    """The weight store is unavailable; nothing is loaded until it recovers."""
 
     detail: str
 
 
 @event(4408, "warning")
 class PlacementUnreadable(NamedTuple):
-    """The KV service holds something else than a fence or a record of placement."""
+    """The fence or the placement record in the KV service is malformed."""
 
     detail: str
 
--- a/packages/control/src/sassafrastally/control/placement_orders.py
+++ b/packages/control/src/sassafrastally/control/placement_orders.py
@@ -1,4 +1,4 @@
-"""Orders of placement and questions about engines, over the links to the sidecars."""
+"""Sends placement orders and engine polls over the links to the sidecars."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class PlacementAction(StrEnum):
-    """What an order asks for."""
+    """Action that an order requests."""
 
     OBSERVE = "observe"
-    """Nothing but the answer; the sidecar refuses older fencing numbers from then on."""
+    """Only reply with the state; the sidecar rejects older fencing numbers from then on."""
     LOAD = "load"
     UNLOAD = "unload"
     LOAD_ADAPTER = "load_adapter"
@@ -31,23 +31,23 @@
 
 
 class PlacementState(StrEnum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     DONE = "done"
     OUTDATED = "outdated"
-    """The sidecar or its engine knows a higher fencing number."""
+    """The sidecar or its engine has seen a higher fencing number."""
     FENCE_UNKNOWN = "fence-unknown"
-    """The sidecar has restarted and can't read the highest fencing number; nothing was done."""
+    """The sidecar restarted and can't read the highest fencing number; nothing was done."""
     LAST_READY = "last-ready"
-    """The model that must be ready for the unload isn't; nothing was done."""
+    """The model version required for the unload isn't ready; nothing was done."""
     FAILED = "failed"
-    """The engine refused, failed or didn't answer; it may have been done."""
+    """The engine refused, failed or didn't respond; the action may have been executed."""
     NO_ENGINE = "no-engine"
-    """No model engine stands beside the sidecar."""
+    """The sidecar has no model engine."""
 
 
 class OrderTimes(NamedTuple):
-    """Time limits of the calls to sidecars."""
+    """Time limits for calls to sidecars."""
 
     observe_s: float
     order_s: float
@@ -59,9 +59,9 @@
     Parameters
     ----------
     peers
-        The links.
+        Provides the links.
     tenure
-        Under whose fencing number the orders go; checked before each.
+        Tenure under whose fencing number the orders are sent; checked before each.
     times
         Time limits.
     """
@@ -77,12 +77,12 @@
         return self._tenure.fence
 
     async def observe(self, state: VmState) -> PlacementReply | None:
-        """Return what a sidecar's engine serves; ``None`` when there is no answer in time."""
+        """Return the state of a sidecar's engine; ``None`` if there is no reply in time."""
         order = PlacementOrder(fence=self._tenure.fence, action=PlacementAction.OBSERVE)
         return await self._call(state, order, self._times.observe_s)
 
     async def order(self, state: VmState, step: Step) -> PlacementReply | None:
-        """Send an order; ``None`` when there is no answer: it may have been carried out."""
+        """Send an order; ``None`` if there is no reply, when it may have been executed."""
         order = PlacementOrder(
             self._tenure.fence,
             step.action,
@@ -100,7 +100,7 @@
         with trio.move_on_after(time_limit_s):
             try:
                 link = await self._peers.link_to(state.vm, state.peer_address)
-                # The dial may have taken long, or this process may have stood still in it.
+                # The dial may have taken long, or this process may have been suspended during it.
                 self._tenure.check()
                 reply = await link.call(order)
             except (LinkRefused, LinkCut, StreamEnded, TooManyStreams):
@@ -108,7 +108,7 @@
             if not isinstance(reply, PlacementReply):
                 return None
             if reply.fence > self._tenure.fence:
-                self._tenure.end(f"{state.vm} knows the fencing number {reply.fence}")
+                self._tenure.end(f"{state.vm} has seen the higher fencing number {reply.fence}")
                 self._tenure.check()
             return reply
         return None
--- a/packages/control/src/sassafrastally/control/placement_plan.py
+++ b/packages/control/src/sassafrastally/control/placement_plan.py
@@ -1,9 +1,10 @@
-"""Which engine is to serve which models: pure functions, without time or calls.
+"""Computes which engine serves which models, as pure functions without clocks or calls.
 
 Notes
 -----
-An engine's line says what it is to run now. The goal follows from the bundle alone; lines move
-towards it a wave at a time, so that the written record never asks for more than one wave's change.
+An engine's line is its desired state in the placement record. The target follows from the bundle.
+Lines move towards the target in waves, so that the record never requires changes to more than one
+wave of engines at once.
 """
 
 from __future__ import annotations
@@ -17,57 +18,57 @@
     from sassafrastally.control.bundle import Model
 
 VERSION_MARK = "@"
-"""Stands between name and version of a loaded model."""
+"""Separator between name and version of a loaded model."""
 
 DEFAULT_ROLE = "general"
 
 
 class PlacedModel(NamedTuple):
-    """A model on an engine."""
+    """A model version on an engine."""
 
     model: str
     version: str
     name: str
-    """Engine's name of it: ``model@version``, or ``model`` if it was loaded without a version."""
+    """Name on the engine: ``model@version``, or ``model`` if it was loaded without a version."""
 
     @property
     def versioned_name(self) -> str:
-        """The name under which an order of placement loads it."""
+        """The name under which a placement order loads the model."""
         return f"{self.model}{VERSION_MARK}{self.version}"
 
     def is_ready(self, names: Iterable[str]) -> bool:
-        """Return whether it is among an engine's names."""
+        """Return whether an engine's names contain this model version."""
         return any(name in (self.name, self.versioned_name) for name in names)
 
 
 class EngineLine(NamedTuple):
-    """What one engine is to run."""
+    """Desired state of one engine."""
 
     vm: str
     models: tuple[PlacedModel, ...] = ()
     adapters: tuple[str, ...] = ()
     retired_adapters: tuple[str, ...] = ()
-    """Adapters that stood in earlier lines: they are unloaded as adapters, not as models."""
+    """Adapters of earlier lines, which must be unloaded as adapters instead of as models."""
     kept: tuple[str, ...] = ()
-    """Names that the engine had before placement and that no bundle knew; they are left alone."""
+    """Names found on the engine that no bundle contains; placement doesn't unload them."""
     role: str = DEFAULT_ROLE
 
 
 class EngineView(NamedTuple):
-    """What one engine runs, as its sidecar last said."""
+    """Observed state of one engine, as last reported by its sidecar."""
 
     vm: str
     names: tuple[str, ...] = ()
-    """Models as ``name`` or ``name@version``, adapters by their names."""
+    """Models as ``name`` or ``name@version``, adapters by name."""
     role: str = DEFAULT_ROLE
     is_pinned: bool = False
-    """Whether the sidecar's settings fix what may be served there."""
+    """Whether the sidecar's settings determine what the engine may serve."""
     is_ready: bool = True
-    """Whether it answered lately and isn't leaving; only such an engine counts as a replica."""
+    """Whether it replied recently and isn't leaving; only ready engines count as replicas."""
 
 
 class Step(NamedTuple):
-    """One order that brings an engine nearer to its line."""
+    """One order that brings an engine closer to its line."""
 
     vm: str
     action: str
@@ -77,47 +78,49 @@
     adapter: str = ""
     role: str = ""
     needed: str = ""
-    """For an unload: name that must be ready on the engine."""
+    """For an unload: name of the replacement that must be ready on the engine."""
 
 
 def base_name(name: str) -> str:
-    """Return an engine's name of a model without its version."""
+    """Return a model's name on an engine without its version."""
     return name.partition(VERSION_MARK)[0]
 
 
 def choose_models(
     models: Sequence[Model], engines: Sequence[EngineView], lines: Mapping[str, EngineLine]
 ) -> dict[str, tuple[str, ...]]:
-    """Return the names of the models that each engine is to serve, by VM.
+    """Return the names of the models that each engine should serve, by VM.
 
-    Fills as much of every model's `min_replicas` as the engines allow, with the fewest moves; then
-    no engine that may take a model stays without one, and those go where there are fewest.
+    First satisfies every model's `min_replicas` as far as the engines allow, with the fewest moves.
+    Then assigns each remaining available engine to the model with the fewest replicas.
 
     Parameters
     ----------
     models
         The bundle's models.
     engines
-        Engines that count; those that leave or are gone aren't among them.
+        Engines to consider, without those that are leaving or gone.
     lines
-        The record.
+        The placement record.
     """
     known = {model.name for model in models}
     chosen = {
-        engine.vm: _held(current_line(models, engine, lines.get(engine.vm)), known)
+        engine.vm: _assigned_models(current_line(models, engine, lines.get(engine.vm)), known)
         for engine in engines
     }
     counts = Counter(name for names in chosen.values() for name in names)
-    free = sorted(engine.vm for engine in engines if _is_free(engine, lines, chosen[engine.vm]))
-    fixed = {engine.vm for engine in engines if engine.is_pinned}
-    while (needy := _neediest(models, counts)) is not None:
-        vm = free.pop(0) if free else _donor(models, chosen, counts, fixed)
+    available = sorted(
+        engine.vm for engine in engines if _is_available(engine, lines, chosen[engine.vm])
+    )
+    pinned = {engine.vm for engine in engines if engine.is_pinned}
+    while (underreplicated := _most_underreplicated(models, counts)) is not None:
+        vm = available.pop(0) if available else _donor(models, chosen, counts, pinned)
         if vm is None:
             break
         counts.subtract(chosen[vm])
-        chosen[vm] = (needy,)
-        counts[needy] += 1
-    for vm in free:
+        chosen[vm] = (underreplicated,)
+        counts[underreplicated] += 1
+    for vm in available:
         if models:
             name = min(models, key=lambda model: counts[model.name]).name
             chosen[vm] = (name,)
@@ -125,29 +128,29 @@
     return chosen
 
 
-def goal_lines(
+def target_lines(
     models: Sequence[Model], engines: Sequence[EngineView], lines: Mapping[str, EngineLine]
 ) -> dict[str, EngineLine]:
-    """Return the line that each engine is to come to, by VM.
+    """Return the target line of each engine, by VM.
 
-    An engine without a line that runs none of the bundle's models has none afterwards either,
-    unless a model is given to it: what its operator loaded is left alone.
+    An engine without a line that runs none of the bundle's models gets a line only when a model is
+    assigned to it: what its operator loaded isn't changed.
     """
     chosen = choose_models(models, engines, lines)
     by_name = {model.name: model for model in models}
-    goal = {}
+    target = {}
     for engine in engines:
         now = current_line(models, engine, lines.get(engine.vm))
         names = chosen[engine.vm]
         if names or engine.vm in lines:
-            goal[engine.vm] = _line_for([by_name[name] for name in names], now)
-    return goal
+            target[engine.vm] = _line_for([by_name[name] for name in names], now)
+    return target
 
 
 def adopt_line(models: Sequence[Model], engine: EngineView) -> EngineLine:
-    """Return the line that describes an engine as it was found.
+    """Return a line that matches an engine's observed state.
 
-    A model that was loaded without a version counts as the version that the bundle names now.
+    A model loaded without a version counts as the version in the current bundle.
     """
     by_name = {model.name: model for model in models}
     placed: dict[str, PlacedModel] = {}
@@ -172,9 +175,9 @@
 def current_line(
     models: Sequence[Model], engine: EngineView, line: EngineLine | None
 ) -> EngineLine:
-    """Return an engine's line, or the line that describes it as it was found.
+    """Return an engine's line, or one that matches its observed state if it has none.
 
-    What was left alone because no bundle knew it is taken in once the bundle names it.
+    Names in `kept` become managed once the bundle contains them.
     """
     if line is None:
         return adopt_line(models, engine)
@@ -192,46 +195,46 @@
     lines: Mapping[str, EngineLine],
     wave_share: float,
 ) -> dict[str, EngineLine]:
-    """Return the record's next lines: engines found anew are adopted, a wave of others moves on.
+    """Return the record's next lines: new engines are adopted, one wave gets its target line.
 
     Parameters
     ----------
     models
         The bundle's models.
     engines
-        Engines that count.
+        Engines to consider.
     lines
-        The record.
+        The placement record.
     wave_share
-        Share of the ready engines that may be under change at once; at least one may.
+        Share of the ready engines that may be changing at once; at least one may.
 
     Notes
     -----
-    Engines that were given a line and haven't come to it count as under change. A version that
-    doesn't load therefore stops the change after one wave, and the others go on as they are.
+    Engines that haven't reached their line yet count as changing. A version that fails to load
+    therefore stops the rollout after one wave, and the other engines continue unchanged.
     """
-    goal = goal_lines(models, engines, lines)
+    target = target_lines(models, engines, lines)
     views = {engine.vm: engine for engine in engines}
-    result = {vm: current_line(models, views[vm], lines.get(vm)) for vm in goal}
+    result = {vm: current_line(models, views[vm], lines.get(vm)) for vm in target}
     ready = [engine.vm for engine in engines if engine.is_ready]
     changing = sum(
         1 for vm in ready if vm in result and next_step(result[vm], views[vm]) is not None
     )
-    room = max(1, int(len(ready) * wave_share)) - changing
+    remaining = max(1, int(len(ready) * wave_share)) - changing
     for vm in sorted(ready):
-        if vm in goal and goal[vm] != result[vm] and next_step(result[vm], views[vm]) is None:
-            if room <= 0:
+        if vm in target and target[vm] != result[vm] and next_step(result[vm], views[vm]) is None:
+            if remaining <= 0:
                 break
-            result[vm] = goal[vm]
-            room -= 1
+            result[vm] = target[vm]
+            remaining -= 1
     return result
 
 
 def next_step(line: EngineLine, engine: EngineView) -> Step | None:
-    """Return the next order for an engine; ``None`` when it runs what its line says.
+    """Return the next order for an engine; ``None`` if it matches its line.
 
-    Loads come before unloads: an engine that is to serve a new version goes on with the old one
-    until the new one is ready.
+    Loads come before unloads: an engine continues to serve the old version until the new one is
+    ready.
     """
     vm, names = line.vm, engine.names
     for placed in line.models:
@@ -245,14 +248,14 @@
         if name in line.retired_adapters:
             return Step(vm, "unload_adapter", adapter=name)
         base, _, version = name.partition(VERSION_MARK)
-        return Step(vm, "unload", base, version, needed=_needed(line, base, names))
+        return Step(vm, "unload", base, version, needed=_replacement_name(line, base, names))
     if engine.role != line.role:
         return Step(vm, "set_role", role=line.role)
     return None
 
 
 def surplus_names(line: EngineLine, names: Iterable[str]) -> list[str]:
-    """Return what an engine runs and its line doesn't name."""
+    """Return the names on an engine that aren't in its line."""
     wanted = {*line.adapters, *line.kept}
     for placed in line.models:
         wanted |= {placed.name, placed.versioned_name}
@@ -260,7 +263,7 @@
 
 
 def may_unload(step: Step, models: Sequence[Model], engines: Iterable[EngineView]) -> bool:
-    """Return whether an unload leaves a model enough ready replicas.
+    """Return whether enough ready replicas of a model remain after an unload.
 
     Parameters
     ----------
@@ -269,7 +272,7 @@
     models
         The bundle's models.
     engines
-        All engines, as they were seen just now.
+        All engines, with their current state.
     """
     model = next((model for model in models if model.name == step.model), None)
     if model is None or step.needed:
@@ -283,54 +286,59 @@
 
 
 def serves(engine: EngineView, model: str) -> bool:
-    """Return whether an engine runs a model in any version."""
+    """Return whether an engine runs any version of a model."""
     return any(base_name(name) == model for name in engine.names)
 
 
-def _needed(line: EngineLine, base: str, names: Sequence[str]) -> str:
-    """Return the engine's name of the version that replaces one that is unloaded."""
+def _replacement_name(line: EngineLine, base: str, names: Sequence[str]) -> str:
+    """Return the name on the engine of the version that replaces an unloaded one."""
     for placed in line.models:
         if placed.model == base:
             return next(name for name in names if placed.is_ready([name]))
     return ""
 
 
-def _held(line: EngineLine, known: set[str]) -> tuple[str, ...]:
+def _assigned_models(line: EngineLine, known: set[str]) -> tuple[str, ...]:
     return tuple(placed.model for placed in line.models if placed.model in known)
 
 
-def _is_free(engine: EngineView, lines: Mapping[str, EngineLine], held: tuple[str, ...]) -> bool:
-    if held or engine.is_pinned:
+def _is_available(
+    engine: EngineView, lines: Mapping[str, EngineLine], assigned: tuple[str, ...]
+) -> bool:
+    if assigned or engine.is_pinned:
         return False
     line = lines.get(engine.vm)
     return not (line.kept if line else engine.names)
 
 
-def _neediest(models: Sequence[Model], counts: Mapping[str, int]) -> str | None:
-    """Return the model that has the smallest part of its replicas."""
-    needy = [model for model in models if counts.get(model.name, 0) < model.min_replicas]
-    if not needy:
+def _most_underreplicated(models: Sequence[Model], counts: Mapping[str, int]) -> str | None:
+    """Return the model with the smallest fraction of its minimum replicas; ``None`` if all fit."""
+    underreplicated = [model for model in models if counts.get(model.name, 0) < model.min_replicas]
+    if not underreplicated:
         return None
-    return min(needy, key=lambda model: counts.get(model.name, 0) / model.min_replicas).name
+    return min(
+        underreplicated, key=lambda model: counts.get(model.name, 0) / model.min_replicas
+    ).name
 
 
 def _donor(
     models: Sequence[Model],
     chosen: Mapping[str, tuple[str, ...]],
     counts: Mapping[str, int],
-    fixed: set[str],
+    pinned: set[str],
 ) -> str | None:
-    """Return an engine whose every model has replicas to spare, from the model with most of them.
+    """Return an engine whose models all have surplus replicas; ``None`` if there is none.
 
-    Engines that serve fewest models come first: they give up least.
+    Prefers engines that serve the fewest models, as they lose the least, and then those whose
+    models have the largest surplus.
     """
-    spare = {model.name: counts.get(model.name, 0) - model.min_replicas for model in models}
+    surplus = {model.name: counts.get(model.name, 0) - model.min_replicas for model in models}
     donors = [
         vm
         for vm, names in chosen.items()
-        if names and vm not in fixed and all(spare[name] > 0 for name in names)
+        if names and vm not in pinned and all(surplus[name] > 0 for name in names)
     ]
-    key = lambda vm: (len(chosen[vm]), -min(spare[name] for name in chosen[vm]), vm)  # noqa: E731
+    key = lambda vm: (len(chosen[vm]), -min(surplus[name] for name in chosen[vm]), vm)  # noqa: E731
     return min(donors, key=key, default=None)
 
 
--- a/packages/control/src/sassafrastally/control/placement_record.py
+++ b/packages/control/src/sassafrastally/control/placement_record.py
@@ -1,10 +1,10 @@
-"""The record of placement in the KV service: one line for each engine, in parts.
+"""The placement record in the KV service: one line per engine, split into parts.
 
 Notes
 -----
-Every write goes with the fence key in one transaction (`Tenure.write`), so a holder that was
-replaced can't write any more. Lines don't depend on each other: a record whose parts were written
-in several transactions is valid at each moment between them.
+Every write is in one transaction with the fence key (`Tenure.write`), so a replaced holder can't
+write any more. Lines are independent of each other, so a record whose parts are written in several
+transactions is also valid between them.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 KEYS = HolderKeys(ROOT + "fence", ROOT + "holder", PURPOSE)
 
 PARTS = 16
-"""Parts of the record: at 1,500 sidecars one holds about 20 kilobytes."""
+"""Number of parts of the record; at 1,500 sidecars each holds about 20 kB."""
 
 MAX_TRANSACTION_BYTES = 900_000
 
@@ -42,12 +42,12 @@
 
 
 class RecordedLine(NamedTuple):
-    """What the KV service says to one sidecar."""
+    """Fencing number and line of one sidecar, as stored in the KV service."""
 
     fence: int
     """Fencing number of the last holder; 0 before the first one."""
     line: EngineLine | None
-    """``None`` when placement says nothing about the VM."""
+    """``None`` if the record has no line for the VM."""
 
 
 def part_key(index: int) -> str:
@@ -71,8 +71,8 @@
 
     Notes
     -----
-    The fence is read last: were it first, a holder that took over in between could have written
-    the line, and the line would be obeyed together with the older number.
+    The fence is read last. If it were read first, a new holder could write the line in between,
+    and the sidecar would apply that line under the older fencing number.
     """
     part = await kv.get(part_key(part_of(vm)), purpose=PURPOSE)
     fence = await kv.get(KEYS.fence, purpose=PURPOSE)
@@ -84,14 +84,14 @@
 async def write_lines(
     tenure: Tenure, before: Mapping[str, EngineLine], after: Mapping[str, EngineLine]
 ) -> None:
-    """Write the parts that differ, in as few transactions as their size allows.
+    """Write the changed parts in as few transactions as their size allows.
 
     Raises
     ------
     TenureOver
         When another holder took over; nothing more is written.
     KvUnavailable, MaybeApplied
-        When the KV service doesn't answer; some parts may have been written.
+        When the KV service doesn't respond; some parts may have been written.
     """
     batch: list[KvWrite] = []
     size_bytes = 0
--- a/packages/control/src/sassafrastally/control/placement_settings.py
+++ b/packages/control/src/sassafrastally/control/placement_settings.py
@@ -12,24 +12,24 @@
     """Placement of models on engines."""
 
     lease_s: float = 12.0
-    """Time to live of the holder's lease; after its death the next one begins so much later."""
+    """Time to live of the holder's lease; after the holder dies, the next one starts this late."""
     attempt_s: float = 6.0
-    """Mean time between two looks of a candidate at whether there is a holder."""
+    """Mean time between two attempts of a candidate to acquire the lease."""
     candidates: int = 3
-    """Entries that would hold placement; the others make no calls for it."""
+    """Number of entries that compete for the lease; the others make no calls for placement."""
     round_s: float = 2.0
-    """Time between two looks of the holder at what is to be done."""
+    """Time between two rounds of the holder."""
     questions_per_round: int = 8
-    """Sidecars that are asked in turn in each round what their engines serve."""
+    """Number of responsive sidecars polled in turn in each round for the state of their engines."""
     question_time_limit_s: float = 2.0
-    """Longest wait for an answer to such a question."""
+    """Time limit for the reply to such a poll."""
     order_time_limit_s: float = 300.0
-    """Longest wait for an order; longer than the slowest load."""
+    """Time limit for an order; longer than the slowest load."""
     retry_s: float = 10.0
-    """After a failed order its engine is left alone for so long; doubles with each failure."""
+    """Delay before an engine gets orders again after a failed one; doubles with each failure."""
     retry_cap_s: float = 300.0
-    """Longest such time."""
+    """Maximum of this delay."""
     absent_s: float = 30.0
-    """A sidecar that gave no answer for so long counts as gone, and its place is filled."""
+    """Time without a reply after which a sidecar counts as gone and its models are reassigned."""
     wave_share: float = 0.25
-    """Share of the ready engines that may be under change at once; at least one may."""
+    """Share of the ready engines that may be changing at once; at least one may."""
--- a/packages/control/src/sassafrastally/control/placement_work.py
+++ b/packages/control/src/sassafrastally/control/placement_work.py
@@ -1,4 +1,4 @@
-"""The holder's work on the engines: one task for each engine that is to change."""
+"""The holder's work on the engines: one task per engine that must change."""
 
 from __future__ import annotations
 
@@ -32,28 +32,28 @@
 _LOADS = (PlacementAction.LOAD, PlacementAction.LOAD_ADAPTER)
 
 
-class _Pause(NamedTuple):
-    """An engine is left alone after failures."""
+class _Backoff(NamedTuple):
+    """Backoff of an engine after failed orders."""
 
     until_s: float
     failures: int
 
 
 class PlacementWork:
-    """Brings engines to their lines, order by order.
+    """Sends orders to engines until they match their lines.
 
     Parameters
     ----------
     kernel
         The process.
     fleet
-        What is known of the engines.
+        Last known state of the engines.
     sender
         Sends the orders.
     weight_store
-        Whose rate spreads the loads; without it nothing is loaded.
+        Limits the rate of loads; without it nothing is loaded.
     settings
-        Times between attempts.
+        Delays between attempts.
     """
 
     def __init__(
@@ -72,19 +72,19 @@
         self._models: Sequence[Model] = ()
         self._lines: Mapping[str, EngineLine] = {}
         self._busy: set[str] = set()
-        self._pauses: dict[str, _Pause] = {}
-        self._shedding = trio.Lock()
-        """Held from counting the ready replicas to the answer: two engines that give up a model
-        at the same time would each count the other."""
+        self._backoffs: dict[str, _Backoff] = {}
+        self._unload_lock = trio.Lock()
+        """Held from counting the ready replicas until the reply to the unload. Without it, two
+        engines that unload a model at the same time would each count the other as a replica."""
 
-    def adopt(self, models: Sequence[Model], lines: Mapping[str, EngineLine]) -> None:
-        """Take the bundle's models and the lines that the record holds now."""
+    def update(self, models: Sequence[Model], lines: Mapping[str, EngineLine]) -> None:
+        """Set the bundle's models and the current lines of the record."""
         self._models = models
         self._lines = lines
-        self._pauses = {vm: pause for vm, pause in self._pauses.items() if vm in lines}
+        self._backoffs = {vm: backoff for vm, backoff in self._backoffs.items() if vm in lines}
 
-    def due(self) -> list[str]:
-        """Return the engines that aren't at their line and that no task works on; claims them."""
+    def claim_due(self) -> list[str]:
+        """Claim and return the engines that don't match their line and have no task yet."""
         now_s = trio.current_time()
         states = self._fleet.states()
         due = [
@@ -92,23 +92,23 @@
             for vm in self._lines
             if vm in states
             and vm not in self._busy
-            and (vm not in self._pauses or self._pauses[vm].until_s <= now_s)
+            and (vm not in self._backoffs or self._backoffs[vm].until_s <= now_s)
             and self._next_step(vm) is not None
         ]
         self._busy.update(due)
         return due
 
     async def advance(self, vm: str) -> None:
-        """Send an engine its orders until it is at its line or one fails."""
+        """Send orders to an engine until it matches its line or an order fails."""
         try:
             last: Step | None = None
             while (step := self._next_step(vm)) is not None:
-                # An engine that says that it is done and isn't would be ordered without end.
-                if step == last or not await self._take_step(step):
-                    self._pause(vm)
+                # An engine that reports success without effect would get the same order for ever.
+                if step == last or not await self._execute_step(step):
+                    self._back_off(vm)
                     return
                 last = step
-            self._pauses.pop(vm, None)
+            self._backoffs.pop(vm, None)
         finally:
             self._busy.discard(vm)
 
@@ -118,17 +118,17 @@
             return None
         return next_step(line, view)
 
-    async def _take_step(self, step: Step) -> bool:
-        """Carry out a step; return whether to go on with the engine."""
+    async def _execute_step(self, step: Step) -> bool:
+        """Execute a step; return whether to continue with the engine."""
         if step.action in _LOADS:
             if not await self._wait_for_weights(step):
                 return False
-            # The wait may have been long: the line, or what the engine runs, may be another now.
-            return self._next_step(step.vm) != step or await self._order(step)
+            # The wait may have been long; the line or the engine's state may have changed.
+            return self._next_step(step.vm) != step or await self._send_order(step)
         if step.action == PlacementAction.UNLOAD and not step.needed:
-            async with self._shedding:
-                return await self._is_spare(step) and await self._order(step)
-        return await self._order(step)
+            async with self._unload_lock:
+                return await self._has_enough_replicas(step) and await self._send_order(step)
+        return await self._send_order(step)
 
     async def _wait_for_weights(self, step: Step) -> bool:
         if self._weight_store is None:
@@ -143,11 +143,11 @@
         await trio.sleep(wait_s)
         return True
 
-    async def _is_spare(self, step: Step) -> bool:
-        """Return whether enough other engines serve the model, by their answers of this moment.
+    async def _has_enough_replicas(self, step: Step) -> bool:
+        """Poll the other engines and return whether enough of them serve the model.
 
-        An answer of a while ago may be of an engine that has died since: with it counted, the
-        last ready replica would be taken and every request for the model refused.
+        A stored reply may be from an engine that has died since. Counting it could unload the last
+        ready replica, and every request for the model would be refused.
         """
         model = next((model for model in self._models if model.name == step.model), None)
         if model is None:
@@ -157,23 +157,23 @@
             for vm in self._fleet.states()
             if vm != step.vm and (view := self._fleet.view(vm)) and serves(view, model.name)
         ]
-        await self._fleet.ask(others)
+        await self._fleet.poll(others)
         views = [view for vm in others if (view := self._fleet.view(vm)) is not None]
         if may_unload(step, self._models, views):
             return True
         self._kernel.events.emit(PlacementHeldBack(step.vm, model.name, model.min_replicas))
         return False
 
-    async def _order(self, step: Step) -> bool:
+    async def _send_order(self, step: Step) -> bool:
         state = self._fleet.states().get(step.vm)
         if state is None:
             return False
         began_s = trio.current_time()
         reply = await self._sender.order(state, step)
-        self._fleet.take(step.vm, reply)
-        return self._note(step, reply, trio.current_time() - began_s)
+        self._fleet.record_reply(step.vm, reply)
+        return self._record_outcome(step, reply, trio.current_time() - began_s)
 
-    def _note(self, step: Step, reply: PlacementReply | None, elapsed_s: float) -> bool:
+    def _record_outcome(self, step: Step, reply: PlacementReply | None, elapsed_s: float) -> bool:
         fence = self._sender.fence
         subject = step.adapter or step.role or f"{step.model}{VERSION_MARK}{step.version}"
         outcome = reply.state if reply else "no-answer"
@@ -186,7 +186,7 @@
         emit(PlacementOrderFailed(fence, step.vm, step.action, subject, outcome, detail))
         return False
 
-    def _pause(self, vm: str) -> None:
-        failures = self._pauses[vm].failures + 1 if vm in self._pauses else 1
-        pause_s = min(self._settings.retry_s * 2 ** (failures - 1), self._settings.retry_cap_s)
-        self._pauses[vm] = _Pause(trio.current_time() + pause_s, failures)
+    def _back_off(self, vm: str) -> None:
+        failures = self._backoffs[vm].failures + 1 if vm in self._backoffs else 1
+        backoff_s = min(self._settings.retry_s * 2 ** (failures - 1), self._settings.retry_cap_s)
+        self._backoffs[vm] = _Backoff(trio.current_time() + backoff_s, failures)
--- a/packages/control/tests/conftest.py
+++ b/packages/control/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small fleet of bundle services over memory links and the KV stand-in."""
+"""A small fleet of bundle services over in-memory links and a fake KV service."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class CuttableKv(FakeKv):
-    """The KV service as one VM sees it, which a test may cut off."""
+    """KV client of one VM that a test can cut off from the service."""
 
     def __init__(self, model: KvModel) -> None:
         super().__init__(model)
@@ -44,22 +44,22 @@
         self._waiting: set[trio.CancelScope] = set()
 
     def cut(self) -> None:
-        """Refuse all calls and cut the watches."""
+        """Fail all calls and open watches."""
         self.is_cut = True
         for scope in self._waiting:
             scope.cancel()
 
     async def _read(self, *arguments: Any) -> Any:
-        self._refuse_when_cut()
+        self._raise_if_cut()
         return await super()._read(*arguments)
 
     async def _mutate(self, *arguments: Any) -> Any:
-        self._refuse_when_cut()
+        self._raise_if_cut()
         return await super()._mutate(*arguments)
 
     @asynccontextmanager
     async def watch(self, prefix: str, **options: Any) -> AsyncIterator[Any]:
-        self._refuse_when_cut()
+        self._raise_if_cut()
         async with super().watch(prefix, **options) as events:
             yield self._cuttable(events)
 
@@ -75,13 +75,13 @@
                 raise KvUnavailable("cut")
             yield event
 
-    def _refuse_when_cut(self) -> None:
+    def _raise_if_cut(self) -> None:
         if self.is_cut:
             raise KvUnavailable("cut")
 
 
 class Node:
-    """One VM of the fleet; restarting it gives it a new process."""
+    """One VM of the fleet; each start creates a new process."""
 
     def __init__(self, fleet: Fleet, number: int, data_centre: str) -> None:
         self.vm = f"vm{number}"
@@ -94,7 +94,7 @@
 
     @property
     def generations(self) -> list[int]:
-        """What was put in force over the life of the process, in order."""
+        """The generations that the process has activated, in order."""
         records = self.kernel.events.records()
         return [item["fields"]["generation"] for item in records if item["name"] == "BundleTaken"]
 
@@ -112,9 +112,9 @@
         await fleet.nursery.start(self._run)
 
     def kill(self) -> None:
-        """End the process as a crash does."""
+        """End the process abruptly, as a crash does."""
         self.scope.cancel()
-        self._fleet.network.forget(self.address)
+        self._fleet.network.close_listener(self.address)
         for other in self._fleet.nodes:
             self._fleet.network.cut(self.vm, other.vm)
 
@@ -126,7 +126,7 @@
                 task_status.started()
 
     async def _dial(self) -> None:
-        """Keep a link to each peer, as the membership does."""
+        """Maintain a link to each peer, as the membership service does."""
         while True:
             for other in self._fleet.peers_of(self):
                 try:
@@ -136,37 +136,37 @@
             await trio.sleep(REDIAL_S)
 
 
-class ForgetfulNetwork(MemoryNetwork):
-    """A network on which a killed process no longer listens."""
+class ClosableNetwork(MemoryNetwork):
+    """In-memory network on which a killed process stops listening."""
 
-    def forget(self, address: Address) -> None:
+    def close_listener(self, address: Address) -> None:
         """Drop the listener of an address."""
         self._listeners.pop(address, None)
 
 
 class Fleet:
-    """Several nodes, their KV service and the operators who roll."""
+    """Several nodes, their KV service and operators who roll bundles."""
 
     def __init__(self, nursery: trio.Nursery, seed: int) -> None:
         self.random = Random(seed)
         self.nursery = nursery
         self.model = KvModel(Random(seed))
         self.kv = FakeKv(self.model)
-        self.network = ForgetfulNetwork(latency_s=0.001)
+        self.network = ClosableNetwork(latency_s=0.001)
         self.keys = [make_key("ana"), make_key("bruno")]
         self.settings = settings_for(self.keys)
         self.nodes: list[Node] = []
         self.generation = 0
 
     async def add(self, count: int, data_centres: Sequence[str] = ("cordon", "prado")) -> None:
-        """Start nodes, spread over data centres."""
+        """Start nodes, distributed over data centres in turn."""
         for _ in range(count):
             number = len(self.nodes)
             self.nodes.append(Node(self, number, data_centres[number % len(data_centres)]))
             await self.nodes[-1].start()
 
     def peers_of(self, node: Node) -> list[Node]:
-        """Return whom a node dials: those before it."""
+        """Return the nodes that a node dials: those started before it."""
         return self.nodes[: self.nodes.index(node)]
 
     async def roll(self, bundle: Bundle) -> str:
@@ -180,25 +180,25 @@
         self.generation = result.head.generation
         return published.digest
 
-    async def everywhere(self, generation: int, within_s: float) -> None:
-        """Wait until a generation is in force on all nodes."""
+    async def wait_everywhere(self, generation: int, within_s: float) -> None:
+        """Wait until a generation is active on all nodes."""
         with trio.fail_after(within_s):
             for node in self.nodes:
                 await node.service.wait_for(generation)
 
     def events(self, node: Node, name: str) -> list[Any]:
-        """Return the fields of a node's events of a name."""
+        """Return the fields of a node's events with the given name."""
         return [item["fields"] for item in node.kernel.events.records() if item["name"] == name]
 
 
 def settings_for(keys: Sequence[SigningKey], **changes: Any) -> BundleSettings:
-    """Return settings that trust some keys."""
+    """Return settings that trust the given keys."""
     trusted = tuple(TrustedSigner(key.signer, key.public_key) for key in keys)
     return BundleSettings(trusted_signers=trusted)._replace(**changes)
 
 
 def make_bundle(customers: int = 3, share: float = 1.0) -> Bundle:
-    """Return a bundle; the share of the first customer tells bundles apart."""
+    """Return a bundle; the first customer's share distinguishes bundles."""
     return Bundle(
         "yeso",
         models=(Model("crew", "1", 1_000_000),),
@@ -211,23 +211,23 @@
 
 @pytest.fixture
 def make_bundle_of() -> Any:
-    """Return the maker of bundles."""
+    """Return the factory of bundles."""
     return make_bundle
 
 
 @pytest.fixture
 def trust() -> Any:
-    """Return the maker of settings."""
+    """Return the factory of settings that trust some keys."""
     return settings_for
 
 
 @pytest.fixture
 async def fleet(autojump_clock: Any, nursery: trio.Nursery) -> Fleet:
-    """Return a fleet without nodes on the mock clock."""
+    """Return a fleet without nodes, on the mock clock."""
     return Fleet(nursery, seed=1)
 
 
 @pytest.fixture
 def fleet_of(autojump_clock: Any, nursery: trio.Nursery) -> Any:
-    """Return the maker of fleets by seed."""
+    """Return the factory of fleets by seed."""
     return lambda seed: Fleet(nursery, seed)
--- a/packages/control/tests/test_compile.py
+++ b/packages/control/tests/test_compile.py
@@ -1,4 +1,4 @@
-"""From TOML to a bundle, with all findings at their places."""
+"""Compilation of TOML into a bundle, with the location of every finding."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from sassafrastally.control.compile import compile_bundle
 from sassafrastally.core import FindingsError
 
-GOOD = f"""\
+VALID = f"""\
 name = "sondrio"
 
 [[models]]
@@ -24,7 +24,7 @@
 long_first_token = 3
 """
 
-BAD = f"""\
+INVALID = f"""\
 name = "a b"
 extra = 1
 
@@ -55,14 +55,14 @@
 
 
 class TestCompile:
-    def test_good(self):
-        bundle = compile_bundle(GOOD, "b.toml")
+    def test_valid_document(self):
+        bundle = compile_bundle(VALID, "b.toml")
         assert bundle.customers[0].models == ("dossier",)
         assert bundle.weights.long_first_token == 3.0
 
-    def test_all_findings_at_their_places(self):
+    def test_reports_location_of_every_finding(self):
         with pytest.raises(FindingsError) as caught:
-            compile_bundle(BAD, "b.toml")
+            compile_bundle(INVALID, "b.toml")
         places = {(item.place.line, item.place.key) for item in caught.value.findings}
         assert places == {
             (1, "name"),
@@ -77,6 +77,6 @@
         }
         assert "hunter2" not in str(caught.value)
 
-    def test_broken_toml(self):
+    def test_malformed_toml(self):
         with pytest.raises(FindingsError, match=r"b\.toml:2"):
             compile_bundle('name = "x"\n= 3\n', "b.toml")
--- a/packages/control/tests/test_membership.py
+++ b/packages/control/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: who exists, who leaves, and the links that an entry keeps up."""
+"""Membership: the known VMs, leaving VMs, and the links that an entry maintains."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 
 class FakeLink:
-    def __init__(self, vm: str, life: int) -> None:
-        self.peer = PeerIdentity(vm, "sidecar", "tirano", Incarnation(f"{vm}-{life}"))
+    def __init__(self, vm: str, incarnation: int) -> None:
+        self.peer = PeerIdentity(vm, "sidecar", "tirano", Incarnation(f"{vm}-{incarnation}"))
         self.is_up = True
 
 
 class FakePeers(Service):
-    """Links that come about at once unless the VM refuses them."""
+    """Peers whose links are established immediately unless the VM refuses them."""
 
     name: ClassVar[str] = "peers"
 
     def __init__(self) -> None:
-        self.lives: Counter[str] = Counter()
+        self.incarnation_counts: Counter[str] = Counter()
         self.refusing: set[str] = set()
         self.dialled: Counter[str] = Counter()
         self._links: dict[str, FakeLink] = {}
@@ -68,7 +68,7 @@
             self.dialled[vm] += 1
             if vm in self.refusing:
                 raise LinkRefused(vm)
-            found = self._links[vm] = FakeLink(vm, self.lives[vm])
+            found = self._links[vm] = FakeLink(vm, self.incarnation_counts[vm])
             for handler in self._on_link:
                 await handler(cast("Link", found))
         return cast("Link", found)
@@ -90,11 +90,11 @@
 
     def restart(self, vm: str) -> None:
         self.cut(vm)
-        self.lives[vm] += 1
+        self.incarnation_counts[vm] += 1
 
 
 class Process:
-    """An entry or a sidecar with its membership."""
+    """An entry or sidecar with its membership service."""
 
     def __init__(self, role: str, names: list[str]) -> None:
         self.peers = FakePeers()
@@ -105,8 +105,8 @@
         self.kernel.add(self.peers)
         self.kernel.add(self.membership)
 
-    async def polled(self) -> None:
-        """Let at least one poll and the dialling after it pass."""
+    async def wait_polled(self) -> None:
+        """Wait until at least one poll and the dials after it have happened."""
         await trio.sleep(POLL_BOUND_S)
 
 
@@ -115,7 +115,7 @@
     process = Process(role, names)
     async with trio.open_nursery() as nursery:
         await nursery.start(process.kernel.run)
-        await process.polled()
+        await process.wait_polled()
         yield process
         nursery.cancel_scope.cancel()
 
@@ -125,88 +125,83 @@
 
 
 class TestLeaving:
-    async def test_the_vm_list_says_it_first(self, autojump_clock: object) -> None:
+    async def test_vm_list_reports_leaving_first(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             entry.model.mark_leaving("s1")
             assert not entry.membership.is_leaving("s1")
-            await entry.polled()
+            await entry.wait_polled()
             assert entry.membership.is_leaving("s1")
 
-    async def test_a_vm_that_was_never_linked_may_leave(self, autojump_clock: object) -> None:
+    async def test_vm_without_link_can_leave(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             entry.model.put(vm_state("s4")._replace(leaving=True))
-            await entry.polled()
+            await entry.wait_polled()
             assert entry.membership.is_leaving("s4")
             assert not entry.peers.dialled["s4"]
 
-    async def test_the_report_says_it_first(self, autojump_clock: object) -> None:
-        """A sidecar gets the signal to stop while the VM list lags. New work sent to it in the
-        meantime would be cut off when its VM goes."""
+    async def test_load_report_reports_leaving_first(self, autojump_clock: object) -> None:
+        """A sidecar is notified to stop while the VM list lags. Without the report, new work would
+        still be sent to it and be cut off when its VM stops."""
         async with running_entry() as entry:
             await entry.peers.report("s1", LoadReport(leaving=True))
             assert entry.membership.is_leaving("s1")
             assert not entry.membership.is_leaving("s2")
 
-    async def test_it_is_not_taken_back_in_the_same_life(self, autojump_clock: object) -> None:
-        """Two replicas of the VM list lag differently: one says that a VM leaves, the next poll
-        gets the other's older state. Callers sent there again would lose their answers."""
+    async def test_leaving_is_permanent_within_an_incarnation(self, autojump_clock: object) -> None:
+        """Two replicas of the VM list lag differently: one lists a VM as leaving, the next poll
+        reads the older state of the other. Requests sent to the VM again would lose their
+        responses."""
         async with running_entry() as entry:
             entry.model.mark_leaving("s1")
-            await entry.polled()
+            await entry.wait_polled()
             entry.model.put(vm_state("s1"))
             await entry.peers.report("s1", LoadReport(leaving=False))
-            await entry.polled()
+            await entry.wait_polled()
             assert entry.membership.is_leaving("s1")
 
-    async def test_the_next_life_under_the_name_is_not_shunned(
-        self, autojump_clock: object
-    ) -> None:
-        """A VM leaves and comes back under its old name. If its leaving stuck to the name, this
-        entry would never use the new VM, and the others would carry its load."""
+    async def test_new_incarnation_is_not_leaving(self, autojump_clock: object) -> None:
+        """A VM leaves and comes back under the same name. If the leaving mark were kept for the
+        name, this entry would never use the new VM, and the other VMs would carry its load."""
         async with running_entry() as entry:
             entry.model.mark_leaving("s1")
-            await entry.polled()
+            await entry.wait_polled()
             entry.peers.restart("s1")
             entry.model.put(vm_state("s1"))
-            await entry.polled()
-            await entry.polled()
+            await entry.wait_polled()
+            await entry.wait_polled()
             assert not entry.membership.is_leaving("s1")
             assert entry.peers.linked() == {"s1", "s2", "s3"}
 
-    async def test_a_removed_vm_counts_as_leaving_while_its_link_stands(
-        self, autojump_clock: object
-    ) -> None:
+    async def test_removed_vm_is_leaving_while_linked(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             entry.model.remove("s1")
-            await entry.polled()
+            await entry.wait_polled()
             assert entry.membership.is_leaving("s1")
             entry.peers.cut("s1")
-            await entry.polled()
+            await entry.wait_polled()
             assert not entry.membership.is_leaving("s1")
 
-    async def test_a_sidecar_learns_from_the_list_that_it_leaves(
-        self, autojump_clock: object
-    ) -> None:
-        """The operators mark a sidecar's VM as leaving. Entries poll the list later than that; if
-        the sidecar went on reserving, work would start that its VM's end cuts off."""
-        told: list[str] = []
+    async def test_sidecar_is_notified_when_listed_as_leaving(self, autojump_clock: object) -> None:
+        """Operators mark a sidecar's VM as leaving, and entries poll the list later. If the sidecar
+        continued to accept reservations, work would start that is cut off when the VM stops."""
+        notified: list[str] = []
         async with running("sidecar", [OWN, "s2"]) as process:
-            process.membership.on_leaving(lambda: told.append("before"))
-            assert not process.membership.self_leaving
+            process.membership.on_leaving(lambda: notified.append("before"))
+            assert not process.membership.is_self_leaving
             process.model.mark_leaving(OWN)
-            await process.polled()
-            await process.polled()
-            process.membership.on_leaving(lambda: told.append("after"))
-            assert process.membership.self_leaving
-            assert told == ["before", "after"]
+            await process.wait_polled()
+            await process.wait_polled()
+            process.membership.on_leaving(lambda: notified.append("after"))
+            assert process.membership.is_self_leaving
+            assert notified == ["before", "after"]
             assert not process.peers.dialled
 
 
 class TestOutage:
     @pytest.mark.parametrize("fault", ["down", "empty"])
-    async def test_the_last_good_list_stays(self, autojump_clock: object, fault: str) -> None:
-        """The VM list is down, or comes back empty after its own restart. An entry that believed
-        it would forget all sidecars and refuse every caller."""
+    async def test_last_valid_list_is_kept(self, autojump_clock: object, fault: str) -> None:
+        """The VM list is down, or empty after its own restart. An entry that accepted the empty
+        list would drop all sidecars and refuse every request."""
         async with running_entry() as entry:
             if fault == "down":
                 entry.model.faults = VmListFaults(down=True)
@@ -214,7 +209,7 @@
                 for name in ("s1", "s2", "s3"):
                     entry.model.remove(name)
             for _ in range(10):
-                await entry.polled()
+                await entry.wait_polled()
             assert {state.vm for state in entry.membership.vms("sidecar")} == {"s1", "s2", "s3"}
             assert entry.peers.linked() == {"s1", "s2", "s3"}
             lost = [item for item in entry.kernel.events.records() if item["name"] == "VmListLost"]
@@ -224,10 +219,10 @@
         async with running_entry() as entry:
             entry.model.faults = VmListFaults(down=True)
             entry.peers.cut("s2")
-            await entry.polled()
+            await entry.wait_polled()
             assert "s2" in entry.peers.linked()
 
-    async def test_refused_links_are_dialled_ever_more_rarely(self, autojump_clock: object) -> None:
+    async def test_refused_links_are_redialled_with_backoff(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             entry.peers.refusing.add("s2")
             entry.peers.cut("s2")
@@ -236,33 +231,34 @@
 
 
 class TestLoads:
-    async def test_reports_of_standing_links_are_offered(self, autojump_clock: object) -> None:
+    async def test_loads_contain_reports_of_linked_sidecars(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             await entry.peers.report("s1", LoadReport(running=3))
             [load] = entry.membership.loads()
             assert (load.state.vm, load.report.running) == ("s1", 3)
             assert load.received_s == entry.kernel.clock.now_s()
 
-    async def test_a_report_ends_with_its_link(self, autojump_clock: object) -> None:
-        """A sidecar dies and comes back empty. Judged by its last report it would look full, or
-        look free while it is gone; requests would go to the wrong places."""
+    async def test_report_is_dropped_with_its_link(self, autojump_clock: object) -> None:
+        """A sidecar dies and restarts without load. By its last report it would look full, or look
+        free while it is down, and requests would be routed wrongly."""
         async with running_entry() as entry:
             await entry.peers.report("s1", LoadReport(running=3))
             entry.peers.restart("s1")
             assert entry.membership.loads() == []
-            await entry.polled()
+            await entry.wait_polled()
             assert "s1" in entry.peers.linked()
             assert entry.membership.loads() == []
 
-    async def test_a_late_report_of_an_earlier_life_is_dropped(
+    async def test_late_report_of_earlier_incarnation_is_dropped(
         self, autojump_clock: object
     ) -> None:
-        """A sidecar says that it leaves and is replaced under its name; that report is handled
-        after the link to its successor stands. The successor would be shunned for good."""
+        """A sidecar reports that it is leaving and is replaced under the same name. The report is
+        handled after the link to the replacement is up, and would mark the replacement as leaving
+        for ever."""
         async with running_entry() as entry:
             earlier = entry.peers.identity("s1")
             entry.peers.restart("s1")
-            await entry.polled()
+            await entry.wait_polled()
             await entry.peers.report("s1", LoadReport(leaving=True), earlier)
             assert not entry.membership.is_leaving("s1")
             assert entry.membership.loads() == []
@@ -272,9 +268,9 @@
     NAMES: ClassVar[list[str]] = [f"sidecar-{number}" for number in range(1500)]
     SIZE = 24
 
-    def test_it_is_stable_when_one_vm_is_replaced(self) -> None:
-        """VMs are replaced all day. If each replacement moved many links, entries would dial and
-        handshake without end, and what they know of prefixes would be lost."""
+    def test_replacing_a_vm_moves_at_most_one_link(self) -> None:
+        """VMs are replaced frequently. If each replacement moved many links, entries would dial and
+        handshake constantly and lose their knowledge of cached prefixes."""
         moved = 0
         for owner in range(50):
             before = choose_subset(f"entry-{owner}", self.NAMES, self.SIZE)
@@ -283,20 +279,20 @@
             moved += len(after - before)
         assert moved <= 10
 
-    def test_it_spreads_over_the_sidecars(self) -> None:
+    def test_subsets_are_balanced_over_sidecars(self) -> None:
         load: Counter[str] = Counter()
         for owner in range(340):
             load.update(choose_subset(f"entry-{owner}", self.NAMES, self.SIZE))
         assert max(load.values()) <= 20
 
-    def test_all_when_there_are_fewer(self) -> None:
+    def test_subset_is_all_names_when_there_are_fewer(self) -> None:
         assert choose_subset(OWN, ["a", "b"], self.SIZE) == {"a", "b"}
 
-    async def test_links_follow_the_list(self, autojump_clock: object) -> None:
+    async def test_links_follow_the_vm_list(self, autojump_clock: object) -> None:
         async with running_entry() as entry:
             assert entry.peers.linked() == {"s1", "s2", "s3"}
             entry.model.mark_leaving("s1")
             entry.model.put(vm_state("s4"))
-            await entry.polled()
+            await entry.wait_polled()
             assert entry.membership.subset() == {"s2", "s3", "s4"}
             assert "s4" in entry.peers.linked()
--- a/packages/control/tests/test_parts.py
+++ b/packages/control/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Canonical bytes, parts and the decoders of everything that comes from outside."""
+"""Canonical bytes, parts and the decoders of all untrusted input."""
 
 from __future__ import annotations
 
@@ -72,12 +72,12 @@
         assert unpack_bundle(packed) == bundle
         assert pack_bundle(unpack_bundle(packed)) == packed
 
-    def test_order_of_entries_is_no_content(self, make_bundle_of):
+    def test_digest_is_independent_of_entry_order(self, make_bundle_of):
         bundle = make_bundle_of(customers=50)
-        turned = bundle._replace(customers=bundle.customers[::-1])
-        assert pack_bundle(turned) == pack_bundle(bundle)
+        reversed_bundle = bundle._replace(customers=bundle.customers[::-1])
+        assert pack_bundle(reversed_bundle) == pack_bundle(bundle)
 
-    def test_one_customer_of_many_changes_one_shard(self, make_bundle_of):
+    def test_changing_one_customer_changes_one_shard(self, make_bundle_of):
         before = pack_bundle(make_bundle_of(customers=5_000))
         after = pack_bundle(make_bundle_of(customers=5_000, share=2.0))
         assert len(after.parts.keys() - before.parts.keys()) == 1
@@ -132,7 +132,7 @@
             st.sampled_from([b"[" * 100_000, b'{"a":' * 5_000, b"9" * 5_000, b'{"a":NaN}']),
         )
     )
-    def test_noise_is_refused(self, data):
+    def test_malformed_bytes_are_rejected(self, data):
         for decode in (decode_head, decode_signature):
             with pytest.raises(BadEncoding):
                 decode(data)
--- a/packages/control/tests/test_placement.py
+++ b/packages/control/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the placement holder over whole deployments on the mock clock."""
+"""The placement holder in whole deployments on the mock clock."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class PlacedDeployment(Deployment):
-    """A deployment whose processes take part in placement."""
+    """A deployment whose processes run placement."""
 
     async def _build(self, spec: VmSpec) -> Kernel:
         kernel = await super()._build(spec)
@@ -61,7 +61,7 @@
         ]
 
     def versions(self) -> set[tuple[str, ...]]:
-        """Return what the engines run, without doubles."""
+        """Return the distinct sets of models that the engines run."""
         return {engine.placement.models for engine in self.engines.values()}
 
     async def wait_holder(self) -> str:
@@ -72,7 +72,7 @@
         return self.holders()[0]
 
     async def wait_versions(self, *names: str, limit_s: float = 300.0) -> float:
-        """Wait until every engine runs just these; return how long it took."""
+        """Wait until every engine runs exactly these models; return the time it took."""
         began_s = trio.current_time()
         with trio.fail_after(limit_s):
             while self.versions() != {names}:
@@ -109,8 +109,8 @@
         nursery.cancel_scope.cancel()
 
 
-async def ask(deployment: Deployment, entry: str = "entry-0") -> str:
-    """Ask one short question; return the refusal's code, empty when it was answered."""
+async def send_request(deployment: Deployment, entry: str = "entry-0") -> str:
+    """Send one short request; return the refusal's code, or an empty string if it succeeds."""
     path = deployment.node(entry).kernel.get("path", RequestPath)
     body = b'{"model": "reader", "stream": true, "max_tokens": 8, "prompt": "plaster?"}'
     request = CallerRequest(
@@ -134,12 +134,12 @@
 
 
 class TestVersionChange:
-    async def test_under_a_steady_load_no_request_is_refused(self, autojump_clock: Any) -> None:
-        """An operator rolls a new version while callers go on asking.
+    async def test_no_request_is_refused_under_steady_load(self, autojump_clock: Any) -> None:
+        """An operator rolls a new version while callers send requests.
 
-        Each engine loads the new version beside the old one, which goes when the new one is
-        ready. Unloaded first, all engines of a wave would refuse at once and callers would be
-        told that no replica serves the model.
+        Each engine loads the new version in addition to the old one, which is unloaded once the
+        new one is ready. If the old version were unloaded first, all engines of a wave would
+        refuse requests at once, and callers would get the refusal that no replica serves the model.
         """
         async with deployed() as deployment:
             await deployment.roll(version("1", least=4))
@@ -149,7 +149,7 @@
 
             async def load() -> None:
                 while True:
-                    refusals.append(await ask(deployment))
+                    refusals.append(await send_request(deployment))
                     await trio.sleep(0.2)
 
             async def count_ready() -> None:
@@ -171,10 +171,10 @@
             assert set(refusals) == {""}
             assert least_ready == 4
 
-    async def test_a_slow_weight_store_spreads_the_loads(self, autojump_clock: Any) -> None:
-        """The weight store lets one load begin every 15 seconds and is down for a while.
+    async def test_loads_follow_the_rate_of_a_slow_weight_store(self, autojump_clock: Any) -> None:
+        """The weight store allows one load every 15 seconds and is down for a while.
 
-        Nothing is loaded faster than that, nothing is unloaded before, and the change ends.
+        Loads don't exceed that rate, nothing is unloaded before its load, and the change completes.
         """
         async with deployed() as deployment:
             await deployment.wait_holder()
@@ -190,38 +190,38 @@
 
 
 class TestModels:
-    async def test_engines_are_spread_over_models_and_a_gap_is_filled(
+    async def test_engines_are_distributed_and_a_lost_replica_is_replaced(
         self, autojump_clock: Any
     ) -> None:
-        """Empty engines get models; when the only replica of one dies, a spare takes its place."""
+        """Empty engines get models; if a model's only replica dies, a surplus one replaces it."""
         async with deployed(engines=3, names=()) as deployment:
             await deployment.roll(bundle(Model("a", "1", 9), Model("b", "1", 9)))
             await deployment.wait_holder()
             with trio.fail_after(120.0):
                 while sum(len(e.placement.models) for e in deployment.engines.values()) < 3:
                     await trio.sleep(0.5)
-            holds = {vm: e.placement.models for vm, e in deployment.engines.items()}
-            assert sorted(holds.values()) == [("a@1",), ("a@1",), ("b@1",)]
-            only = next(vm for vm, names in holds.items() if names == ("b@1",))
-            await deployment.kill(only)
-            deployment.vm_list.remove(only)
+            assigned = {vm: e.placement.models for vm, e in deployment.engines.items()}
+            assert sorted(assigned.values()) == [("a@1",), ("a@1",), ("b@1",)]
+            single_replica = next(vm for vm, names in assigned.items() if names == ("b@1",))
+            await deployment.kill(single_replica)
+            deployment.vm_list.remove(single_replica)
             with trio.fail_after(120.0):
                 while not any(
                     engine.placement.models == ("b@1",)
                     for vm, engine in deployment.engines.items()
-                    if vm != only
+                    if vm != single_replica
                 ):
                     await trio.sleep(0.5)
 
 
 class TestFleet:
-    async def test_a_sidecar_counts_as_gone_by_its_silence_not_by_its_turn(
+    async def test_absence_is_measured_from_first_unanswered_poll(
         self, autojump_clock: Any
     ) -> None:
-        """There are more sidecars than are asked in turn within the time after which one is gone.
+        """There are more sidecars than can be polled in turn within the absence timeout.
 
-        Counted from the last answer, all but the latest ones would count as gone, and the holder
-        would move models between engines that answer well.
+        If the timeout were measured from the last reply, all but the most recently polled sidecars
+        would count as gone, and the holder would move models between healthy engines.
         """
         silent: set[str] = set()
 
@@ -229,23 +229,23 @@
             async def observe(self, state: VmState) -> PlacementReply | None:
                 return None if state.vm in silent else reply(MODEL)
 
-        fleet = EngineFleet(_Listed(), Sender(), 10.0)  # type: ignore[arg-type]
+        fleet = EngineFleet(_FakeMembership(), Sender(), 10.0)  # type: ignore[arg-type]
         for second in range(60):
-            await fleet.ask_next(1)
+            await fleet.poll_next(1)
             await trio.sleep(1.0)
             if second == 30:
                 silent.add("engine-3")
         assert {view.vm for view in fleet.engines({})} == {
-            state.vm for state in _Listed().vms("sidecar") if state.vm != "engine-3"
+            state.vm for state in _FakeMembership().vms("sidecar") if state.vm != "engine-3"
         }
 
-    async def test_the_last_ready_replica_is_not_given_up_on_an_old_answer(
+    async def test_last_ready_replica_is_not_unloaded_on_a_stale_reply(
         self, autojump_clock: Any
     ) -> None:
-        """An engine is to give up a model because another one serves it, which has died since.
+        """An engine should unload a model because another engine serves it, which has died since.
 
-        By the answer of a while ago the model has a replica to spare; unloaded by that, every
-        request for it would be refused.
+        According to the stored reply the model has a surplus replica. If it were unloaded on that
+        basis, every request for the model would be refused.
         """
         orders: list[Step] = []
         answers = {f"engine-{i}": reply("b@1") for i in range(20)}
@@ -260,18 +260,18 @@
 
             async def order(self, state: VmState, step: Step) -> PlacementReply:
                 orders.append(step)
-                return reply("a@1", "b@1")  # Said to be done and not done: not ordered again.
+                return reply("a@1", "b@1")  # Reports success without effect: not ordered again.
 
-        fleet = EngineFleet(_Listed(), Sender(), 10.0)  # type: ignore[arg-type]
-        await fleet.ask_next(0)
+        fleet = EngineFleet(_FakeMembership(), Sender(), 10.0)  # type: ignore[arg-type]
+        await fleet.poll_next(0)
         kernel = Kernel("one", "dc", seed=1)
         work = PlacementWork(kernel, fleet, Sender(), None, SETTINGS)  # type: ignore[arg-type]
         line = EngineLine("engine-0", (PlacedModel("b", "1", "b@1"),))
-        work.adopt([Model("a", "1", 9), Model("b", "1", 9)], {"engine-0": line})
-        alive = answers.pop("engine-1")
+        work.update([Model("a", "1", 9), Model("b", "1", 9)], {"engine-0": line})
+        late_reply = answers.pop("engine-1")
         await work.advance("engine-0")
         assert orders == []
-        answers["engine-1"] = alive
+        answers["engine-1"] = late_reply
         await work.advance("engine-0")
         assert [step.model for step in orders] == ["a"]
 
@@ -280,8 +280,8 @@
     return PlacementReply("done", 1, names, "general")
 
 
-class _Listed:
-    """A VM list of twenty sidecars."""
+class _FakeMembership:
+    """Membership with twenty sidecars."""
 
     def vms(self, role: str) -> list[VmState]:
         return [_STATE._replace(vm=f"engine-{i}") for i in range(20)]
@@ -291,10 +291,8 @@
 
 
 class TestHolder:
-    async def test_there_is_one_holder_and_its_successor_has_a_higher_fence(
-        self, autojump_clock: Any
-    ) -> None:
-        """The holder's VM is lost; the other entry takes over when the lease has lapsed."""
+    async def test_successor_of_holder_has_a_higher_fence(self, autojump_clock: Any) -> None:
+        """The holder's VM is lost; the other entry takes over when the lease has expired."""
         async with deployed() as deployment:
             first = await deployment.wait_holder()
             await trio.sleep(30.0)
@@ -306,13 +304,11 @@
             await deployment.roll(version("2"))
             await deployment.wait_versions("reader@2")
 
-    async def test_in_an_outage_placement_stands_still_and_serving_goes_on(
-        self, autojump_clock: Any
-    ) -> None:
-        """The KV service goes down while a change of version is under way.
+    async def test_kv_outage_stops_placement_but_not_serving(self, autojump_clock: Any) -> None:
+        """The KV service goes down during a version change.
 
-        The holder can't renew its lease and stops; requests are answered throughout. After the
-        outage a holder reads the record and ends the change.
+        The holder can't renew its lease and stops; requests are served throughout. After the
+        outage a holder reads the record and completes the change.
         """
         async with deployed() as deployment:
             await deployment.wait_holder()
@@ -321,12 +317,14 @@
             deployment.kv.set_faults(KvFaults(down=True))
             await trio.sleep(2 * SETTINGS.lease_s)
             assert deployment.holders() == []
-            stood = {vm: e.placement.models for vm, e in deployment.engines.items()}
-            assert len(set(stood.values())) > 1
+            models_in_outage = {vm: e.placement.models for vm, e in deployment.engines.items()}
+            assert len(set(models_in_outage.values())) > 1
             for _ in range(10):
-                assert await ask(deployment) == ""
+                assert await send_request(deployment) == ""
                 await trio.sleep(1.0)
-            assert {vm: e.placement.models for vm, e in deployment.engines.items()} == stood
+            assert {
+                vm: e.placement.models for vm, e in deployment.engines.items()
+            } == models_in_outage
             deployment.kv.set_faults(KvFaults())
             await deployment.wait_versions("reader@2")
 
@@ -342,10 +340,10 @@
 
 
 class TestLease:
-    async def test_two_candidates_at_once_get_one_tenure(
+    async def test_concurrent_candidates_get_one_tenure(
         self, autojump_clock: Any, kv_model: KvModel
     ) -> None:
-        """Two entries find no holder at the same moment; one compare-and-swap decides."""
+        """Two entries find no holder at the same moment; a compare-and-swap selects one."""
         kv_model.set_faults(KvFaults(delay_s=0.1))
         tenures = []
 
@@ -361,21 +359,21 @@
         assert sorted(tenure.fence if tenure else 0 for tenure in tenures) == [0, 1]
 
     @pytest.mark.parametrize("lost", ["lose_answers", "drop_writes"])
-    async def test_a_lost_answer_when_taking_the_fence_is_settled(
+    async def test_lost_response_when_raising_the_fence_is_resolved(
         self, autojump_clock: Any, kv_model: KvModel, lost: str
     ) -> None:
-        """The answer to the write that takes the fence is lost, before or after its effect.
+        """The response to the write that raises the fence is lost, before or after its effect.
 
-        Taken for a failure, the entry would block placement by a lease that nobody uses; taken
-        for a success, it would give orders under a number that isn't its own.
+        If the entry treated this as a failure, it would block placement with an unused lease; if
+        as a success, it could send orders under a fencing number that it doesn't hold.
         """
         kernel, holder = make_holder("one", FakeKv(kv_model))
         kv = FakeKv(kv_model)
-        asked = kv.grant_lease
+        grant_lease = kv.grant_lease
         faults = KvFaults(**{lost: 1})
 
         async def grant(time_to_live_s: float, *, purpose: str) -> int:
-            lease = await asked(time_to_live_s, purpose=purpose)
+            lease = await grant_lease(time_to_live_s, purpose=purpose)
             kv_model.set_faults(faults)
             return lease
 
@@ -387,44 +385,44 @@
         await tenure.write([KvWrite("sassafrastally/placement/part/00", b"x", -1)])
         assert await holder.acquire() is None
 
-    async def test_a_frozen_holder_woken_past_its_lease_sends_and_writes_nothing(
+    async def test_holder_resumed_after_its_lease_sends_and_writes_nothing(
         self, autojump_clock: Any, kv_model: KvModel
     ) -> None:
-        """A holder is frozen between its decision and its order; its lease lapses meanwhile.
+        """A holder is suspended between its decision and its order until its lease has expired.
 
-        The next holder has a higher number. The first one wakes inside the dial of the sidecar:
-        its own clock tells that the lease is over, so it sends nothing, and a write of its
-        record meets the raised fence.
+        The next holder has a higher fencing number. The first one resumes while dialling the
+        sidecar. By its own clock the lease has expired, so it sends nothing, and its write of the
+        record fails because of the raised fence.
         """
         _, holder = make_holder("one", FakeKv(kv_model))
-        frozen = await holder.acquire()
-        assert frozen is not None
-        link = _FrozenLink()
-        sender = OrderSender(link, frozen, OrderTimes(1.0, 1000.0))  # type: ignore[arg-type]
+        suspended = await holder.acquire()
+        assert suspended is not None
+        link = _SuspendedLink()
+        sender = OrderSender(link, suspended, OrderTimes(1.0, 1000.0))  # type: ignore[arg-type]
         with pytest.raises(TenureOver):
             await sender.order(_STATE, Step("engine-0", "load", MODEL, "1"))
         assert link.sent == []
         second = await make_holder("second", FakeKv(kv_model))[1].acquire()
         assert second is not None
-        assert second.fence == frozen.fence + 1
+        assert second.fence == suspended.fence + 1
         part = "sassafrastally/placement/part/00"
         await second.write([KvWrite(part, b"new", -1)])
-        frozen._ended = ""
+        suspended._ended = ""
         with pytest.raises(TenureOver):
-            await frozen.write([KvWrite(part, b"old", -1)])
+            await suspended.write([KvWrite(part, b"old", -1)])
         assert kv_model.range(part).value == b"new"
 
 
 _STATE = VmState("engine-0", "sidecar", "dc", "region", Address("127.0.0.1", 1))
 
 
-class _FrozenLink:
-    """Links of a process that stands still for a minute while it dials."""
+class _SuspendedLink:
+    """Link of a process that is suspended for a minute while dialling."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
 
-    async def link_to(self, vm: str, address: Any) -> _FrozenLink:
+    async def link_to(self, vm: str, address: Any) -> _SuspendedLink:
         await trio.sleep(60.0)
         return self
 
--- a/packages/control/tests/test_placement_plan.py
+++ b/packages/control/tests/test_placement_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the pure functions of placement, against brute force on small cases."""
+"""The pure functions of placement, compared with brute force on small cases."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     Step,
     adopt_line,
     choose_models,
-    goal_lines,
     may_unload,
     next_lines,
     next_step,
+    target_lines,
 )
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
 
 
 def run_steps(placed: EngineLine, view: EngineView) -> list[Step]:
-    """Carry out all steps of an engine; no order leaves it without a ready version."""
+    """Apply all steps to an engine and return them."""
     steps: list[Step] = []
     while (step := next_step(placed, view)) is not None:
         steps.append(step)
@@ -58,7 +58,7 @@
 def score(
     models: Sequence[Model], before: Mapping[str, str], after: Mapping[str, str]
 ) -> tuple[int, ...]:
-    """Return how good a placement is: filled replicas, few moves, no idle engine, evenness."""
+    """Return the quality of a placement: filled replicas, few moves, few idle engines."""
     counts = Counter(after.values())
     filled = sum(min(counts[one.name], one.min_replicas) for one in models)
     moves = sum(1 for vm in before if before[vm] and before[vm] != after[vm])
@@ -72,9 +72,7 @@
         st.lists(st.integers(1, 3), min_size=1, max_size=3),
         st.lists(st.sampled_from(["", *NAMES]), min_size=1, max_size=5),
     )
-    def test_is_as_good_as_the_best_of_all_placements(
-        self, least: list[int], held: list[str]
-    ) -> None:
+    def test_is_as_good_as_the_best_placement(self, least: list[int], held: list[str]) -> None:
         models = [model(name, least=count) for name, count in zip(NAMES, least, strict=False)]
         known = {one.name for one in models}
         before = {f"vm-{i}": name if name in known else "" for i, name in enumerate(held)}
@@ -89,16 +87,16 @@
             for names in product([one.name for one in models], repeat=len(before))
         )
         assert score(models, before, after) == best
-        # Stable: what was chosen stays when nothing has changed.
+        # The choice is stable if nothing has changed.
         again = {vm: line(vm, *names) for vm, names in chosen.items()}
         assert choose_models(models, engines, again) == chosen
 
-    def test_engines_that_serve_several_models_give_up_none_that_is_needed(self) -> None:
+    def test_engine_with_several_models_keeps_required_ones(self) -> None:
         models = [model("a"), model("b"), model("c")]
         engines = [EngineView("vm-1", ("a@1", "b@1")), EngineView("vm-2", ("b@1",))]
         assert choose_models(models, engines, {}) == {"vm-1": ("a", "b"), "vm-2": ("c",)}
 
-    def test_what_settings_pin_or_no_bundle_knows_is_left_alone(self) -> None:
+    def test_pinned_and_unknown_models_are_not_changed(self) -> None:
         engines = [
             EngineView("vm-1", ("a@1",), is_pinned=True),
             EngineView("vm-2", ("a@1",), is_pinned=True),
@@ -106,26 +104,26 @@
         ]
         models = [model("a"), model("b")]
         assert choose_models(models, engines, {})["vm-2"] == ("a",)
-        assert "vm-3" not in goal_lines(models, engines, {})
+        assert "vm-3" not in target_lines(models, engines, {})
 
 
 class TestLines:
-    def test_a_model_loaded_without_version_counts_as_the_version_in_force(self) -> None:
+    def test_model_without_version_counts_as_current_version(self) -> None:
         found = EngineView("vm-1", ("a", "tune", "other"))
         adopted = adopt_line([model("a", "1", adapters=("tune",))], found)
         assert next_step(adopted, found) is None
         assert adopted.kept == ("other",)
 
-        goal = goal_lines([model("a", "2")], [found], {"vm-1": adopted})["vm-1"]
-        actions = [(step.action, step.version, step.adapter) for step in run_steps(goal, found)]
+        target = target_lines([model("a", "2")], [found], {"vm-1": adopted})["vm-1"]
+        actions = [(step.action, step.version, step.adapter) for step in run_steps(target, found)]
         assert actions == [("load", "2", ""), ("unload", "", ""), ("unload_adapter", "", "tune")]
 
-    def test_the_old_version_goes_only_after_the_new_one_is_ready(self) -> None:
+    def test_old_version_is_unloaded_after_new_one_is_ready(self) -> None:
         steps = run_steps(line("vm-1", "a", version="2"), EngineView("vm-1", ("a@1",)))
         assert [step.action for step in steps] == ["load", "unload"]
         assert steps[1].needed == "a@2"
 
-    def test_a_wave_takes_a_share_and_waits_for_engines_that_dont_come_to_their_line(self) -> None:
+    def test_wave_is_limited_and_waits_for_engines_to_reach_their_line(self) -> None:
         engines = [EngineView(f"vm-{i}", ("a@1",)) for i in range(8)]
         models = [model("a", "2", least=2)]
         lines: dict[str, EngineLine] = {}
@@ -137,7 +135,7 @@
         assert next_lines(models, moved, lines, 0.25) != lines
 
     @pytest.mark.parametrize(("others", "allowed"), [(1, False), (2, True)])
-    def test_the_last_ready_replicas_are_not_given_up(self, others: int, allowed: bool) -> None:
+    def test_last_ready_replicas_are_not_unloaded(self, others: int, allowed: bool) -> None:
         engines = [EngineView("vm-0", ("a@1",)), EngineView("vm-9", ("a@1",), is_ready=False)]
         engines += [EngineView(f"vm-{i + 1}", ("a@2",)) for i in range(others)]
         step = Step("vm-0", "unload", "a", "1")
--- a/packages/control/tests/test_rolling.py
+++ b/packages/control/tests/test_rolling.py
@@ -1,4 +1,4 @@
-"""Publishing, signing and rolling, with operators who race and answers that are lost."""
+"""Publishing, signing and rolling, with concurrent operators and lost responses."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Desk(NamedTuple):
-    """What two operators work with."""
+    """KV service, keys and settings of two operators."""
 
     model: KvModel
     kv: FakeKv
@@ -63,20 +63,20 @@
 
 
 class TestPublishing:
-    async def test_twice_writes_once(self, autojump_clock, desk, make_bundle_of):
+    async def test_publishing_twice_writes_once(self, autojump_clock, desk, make_bundle_of):
         first = await publish_bundle(desk.kv, make_bundle_of())
         again = await publish_bundle(desk.kv, make_bundle_of())
         assert again.digest == first.digest
         assert (first.written, again.written) == (first.values, 0)
 
-    async def test_answers_lost(self, autojump_clock, desk, make_bundle_of):
+    async def test_lost_responses(self, autojump_clock, desk, make_bundle_of):
         desk.model.set_faults(KvFaults(lose_answers=2, drop_writes=1))
         assert (await publish_bundle(desk.kv, make_bundle_of())).digest
         desk.model.set_faults(KvFaults())
         assert await desk.publish(make_bundle_of(), desk.ana)
 
-    async def test_altered_part_is_found(self, autojump_clock, desk, make_bundle_of):
-        """Bytes in the KV service were altered between publishing and signing or rolling."""
+    async def test_altered_part_is_detected(self, autojump_clock, desk, make_bundle_of):
+        """Bytes in the KV service are altered between publishing and signing or rolling."""
         digest = await desk.publish(make_bundle_of(), desk.ana)
         packed = pack_bundle(make_bundle_of())
         group = decode_manifest(digest, packed.manifest).groups[1]
@@ -92,10 +92,10 @@
 
 
 class TestRolling:
-    async def test_two_at_once(self, autojump_clock, desk, make_bundle_of):
-        """Ana and Bruno both saw generation 0 and roll different bundles at the same moment.
+    async def test_concurrent_rolls(self, autojump_clock, desk, make_bundle_of):
+        """Ana and Bruno both see generation 0 and roll different bundles at the same moment.
 
-        One wins; the other is told who did and that nothing of the own roll had an effect.
+        One roll succeeds; the other operator is told who won and that their roll had no effect.
         """
         digests = {
             "ana": await desk.publish(make_bundle_of(), desk.ana),
@@ -122,11 +122,11 @@
         assert results[loser].winner == head
         assert head.roller in str(results[loser])
 
-    async def test_repeat_after_lost_answer(self, autojump_clock, desk, make_bundle_of):
-        """The roll takes effect, its answer is lost, and someone rolls on before it is repeated.
+    async def test_repeat_after_lost_response(self, autojump_clock, desk, make_bundle_of):
+        """A roll succeeds, its response is lost, and another roll follows before it is repeated.
 
-        Repeated blindly it would put the older bundle back in force; told "lost" the operator
-        would believe that it never was. It finds its own nonce under its generation.
+        A blind repeat would reactivate the older bundle; reporting `RollLost` would wrongly imply
+        that the roll never took effect. The repeat finds its own nonce under its generation.
         """
         first = await desk.publish(make_bundle_of(), desk.ana)
         second = await desk.publish(make_bundle_of(share=2.0), desk.bruno)
@@ -139,19 +139,19 @@
         assert repeat.head.generation == 1
         assert [head.generation for head in await read_history(desk.kv)] == [2, 1]
 
-    async def test_answer_lost_and_service_down(self, autojump_clock, desk, make_bundle_of):
-        """The answer is lost and the service goes down: the operator is told that it's open."""
+    async def test_lost_response_and_service_down(self, autojump_clock, desk, make_bundle_of):
+        """The response is lost and the service goes down: the outcome is reported as unknown."""
         digest = await desk.publish(make_bundle_of(), desk.ana)
         kv = desk.kv
 
-        async def write_and_fall(writes, *, purpose) -> int:
+        async def write_and_go_down(writes, *, purpose) -> int:
             desk.model.set_faults(KvFaults(lose_answers=1))
             try:
                 return await FakeKv.write(kv, writes, purpose=purpose)
             finally:
                 desk.model.set_faults(KvFaults(down=True))
 
-        kv.write = write_and_fall  # type: ignore[method-assign]
+        kv.write = write_and_go_down  # type: ignore[method-assign]
         with pytest.raises(MaybeApplied):
             await desk.roll(digest, 0, desk.ana)
         del kv.write
@@ -160,8 +160,8 @@
         desk.model.set_faults(KvFaults())
         assert (await desk.roll(digest, 0, desk.ana)).repeated
 
-    async def test_signing_while_another_rolls(self, autojump_clock, desk, make_bundle_of):
-        """Bruno signs while Ana rolls: neither overwrites the other, both come through."""
+    async def test_signing_during_a_roll(self, autojump_clock, desk, make_bundle_of):
+        """Bruno signs while Ana rolls: both succeed and neither overwrites the other."""
         digest = await desk.publish(make_bundle_of(), desk.ana)
         desk.model.set_faults(KvFaults(delay_s=0.05))
         async with trio.open_nursery() as nursery:
@@ -172,7 +172,9 @@
         assert status.head.generation == 1
         assert {item.signer for item in status.signatures if item.counts} == {"ana", "bruno"}
 
-    async def test_old_content_is_a_new_generation(self, autojump_clock, desk, make_bundle_of):
+    async def test_rerolled_bundle_gets_a_new_generation(
+        self, autojump_clock, desk, make_bundle_of
+    ):
         first = await desk.publish(make_bundle_of(), desk.ana)
         second = await desk.publish(make_bundle_of(share=2.0), desk.ana)
         for seen, digest in enumerate((first, second, first)):
@@ -199,7 +201,7 @@
         assert await read_head(desk.kv) is None
 
     async def test_withdrawn_signer_and_roller(self, autojump_clock, desk, make_bundle_of):
-        """Ana signed, then her key was withdrawn: neither signature nor roll of hers counts."""
+        """Ana's key is withdrawn after she signed: neither her signature nor her roll counts."""
         digest = await desk.publish(make_bundle_of(), desk.ana)
         withdrawn = desk._replace(settings=desk.settings._replace(withdrawn_signers=("ana",)))
         with pytest.raises(WithdrawnSigner):
--- a/packages/control/tests/test_signing.py
+++ b/packages/control/tests/test_signing.py
@@ -1,4 +1,4 @@
-"""Keys and signatures."""
+"""Signing keys, signatures and signed heads."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TestKey:
-    def test_secret_is_never_shown(self):
+    def test_secret_is_never_in_repr(self):
         key = make_key("ana")
         secret = str(key.secret)
         assert secret not in repr(key)
@@ -35,26 +35,26 @@
     @pytest.mark.parametrize(
         "text", ["=", "signer = 1\nsecret = 7", 'signer = "a"\nsecret = "hush"', 'signer = "a"']
     )
-    def test_bad_file_shows_no_content(self, text):
+    def test_error_for_malformed_file_contains_no_content(self, text):
         with pytest.raises(BadSigningKey) as caught:
             decode_key(text)
         assert "hush" not in str(caught.value)
 
-    def test_bad_name(self):
+    def test_invalid_signer_name(self):
         for name in ("", "a b", "a/b", 'a"'):
             with pytest.raises(BadSigningKey):
                 make_key(name)
 
 
 class TestSignature:
-    def test_one_signer_twice_counts_once(self, trust):
-        """A roller repeats one signature in the head so that it looks signed by two."""
+    def test_duplicate_signature_counts_once(self, trust):
+        """A roller includes one signature twice so that the head seems signed by two signers."""
         ana = make_key("ana")
         signature = sign_digest(ana, DIGEST)
         with pytest.raises(TooFewSignatures):
             verify_signatures(trust([ana], required_signatures=2), DIGEST, (signature, signature))
 
-    def test_fits_only_its_digest_signer_and_context(self, trust):
+    def test_signature_is_bound_to_digest_signer_and_context(self, trust):
         ana, bruno = make_key("ana"), make_key("bruno")
         settings = trust([ana, bruno])
         signature = sign_digest(ana, DIGEST)
@@ -73,8 +73,8 @@
     @pytest.mark.parametrize(
         "change", [{"generation": 2, "previous_generation": 1}, {"nonce": "m"}, {"digest": OTHER}]
     )
-    def test_any_change_of_a_head_breaks_it(self, trust, change):
-        """A relay that could raise the generation of an old signed digest would revert nodes."""
+    def test_changed_head_fails_verification(self, trust, change):
+        """If a relay could raise the generation of an old signed digest, it could revert nodes."""
         ana = make_key("ana")
         head = sign_head(ana, Head(1, DIGEST, 0, "ana", "n", (sign_digest(ana, DIGEST),)))
         with pytest.raises(WrongSignature):
--- a/packages/control/tests/test_spread_history.py
+++ b/packages/control/tests/test_spread_history.py
@@ -1,4 +1,4 @@
-"""Random histories: no node ever goes from a generation to a lower one."""
+"""Random histories of faults: the active generation of a node never decreases."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class History:
-    """One seeded history of faults and rolls over a fleet."""
+    """A seeded random history of faults and rolls on a fleet."""
 
     def __init__(self, fleet, make_bundle):
         self.fleet = fleet
         self.random = fleet.random
         self.make_bundle = make_bundle
         self.old_heads: list[tuple[int, bytes]] = []
-        self.kept: list[list[int]] = []
-        """What each ended process had in force over its life."""
+        self.ended_generations: list[list[int]] = []
+        """Generations activated by each ended process."""
         self.steps = (
             self.roll,
             self.roll,
@@ -62,13 +62,13 @@
 
     async def restart(self):
         node = self.random.choice(self.fleet.nodes)
-        self.kept.append(node.generations)
+        self.ended_generations.append(node.generations)
         node.kill()
         await trio.sleep(0.1)
         await node.start()
 
     async def send_stale_head(self):
-        """A relay that keeps all heads that it ever had sends an old one to everybody."""
+        """Send an old head from one node to all its peers."""
         relay = self.random.choice(self.fleet.nodes)
         if relay.service.in_force is None:
             return
@@ -97,10 +97,10 @@
 class TestNeverReverts:
     @pytest.mark.parametrize("seed", range(4))
     async def test_history(self, autojump_clock, fleet_of, make_bundle_of, seed):
-        """A node is cut, frozen or restarted, relays send old heads, the KV service comes and goes.
+        """Nodes are partitioned, frozen or restarted, relays send old heads, the KV service fails.
 
-        A user would see an older bundle come back: a limit that was lifted refuses again. At the
-        end everything is healed, and all nodes have the last accepted generation in force.
+        If a node reverted to an older bundle, a limit that was lifted would apply again. At the
+        end all faults are healed, and the last accepted generation is active on all nodes.
         """
         fleet = fleet_of(seed)
         await fleet.add(NODES)
@@ -113,10 +113,13 @@
         await history.heal_node()
         await trio.sleep(1)
         await history.roll()
-        await fleet.everywhere(fleet.generation, within_s=17)
+        await fleet.wait_everywhere(fleet.generation, within_s=17)
         await trio.sleep(1)
         assert fleet.generation > 3
-        for generations in [*history.kept, *(node.generations for node in fleet.nodes)]:
+        for generations in [
+            *history.ended_generations,
+            *(node.generations for node in fleet.nodes),
+        ]:
             assert generations == sorted(set(generations))
         assert {node.service.in_force.digest for node in fleet.nodes} == {
             fleet.nodes[0].service.in_force.digest
--- a/packages/control/tests/test_timeline.py
+++ b/packages/control/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Events of all processes in one order, and what a person reads of them."""
+"""Merging the events of all processes into one order, and rendering them."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     async def test_answer_stands_below_its_question_although_clocks_differ(
         self, autojump_clock: object, snapshot: SnapshotAssertion
     ):
-        """An operator reads the answer of a sidecar above the entry's question.
+        """The timeline lists a sidecar's reply before the entry's request.
 
-        The entry's wall clock is three seconds ahead of the sidecar's; by wall time alone the
-        answer would come first.
+        This would happen when sorting by wall-clock time alone, since the entry's clock is three
+        seconds ahead of the sidecar's.
         """
         entry = EventLog("entry-1", Incarnation("a"), Clock(3.0, EPOCH_S))
         sidecar = EventLog("reader-1", Incarnation("b"), Clock(0.0, EPOCH_S))
@@ -51,14 +51,14 @@
         assert [record["name"] for record in merged] == ["Asked", "Answered"]
         assert render_events(merged) == snapshot
 
-    def test_nothing_is_said_to_be_nothing(self):
+    def test_no_events(self):
         assert render_events([]) == "no events\n"
 
 
 class TestAnswerEvents:
     """`answer_events`."""
 
-    async def test_latest_events_that_fit_a_frame_are_given_and_the_rest_counted(self):
+    async def test_returns_latest_events_that_fit_in_a_frame(self):
         kernel = Kernel("vm-1", "dc-1", seed=1)
         for _ in range(3_000):
             kernel.events.emit(Asked("x" * 100))
