--- a/packages/control/src/sassafrastally/control/placement_plan.py
+++ b/packages/control/src/sassafrastally/control/placement_plan.py
@@ -312,7 +312,7 @@
 
 
 def _most_underreplicated(models: Sequence[Model], counts: Mapping[str, int]) -> str | None:
-    """Return the model with the smallest fraction of its minimum replicas; ``None`` if all fit."""
+    """Return the model with the smallest fraction of its minimum replicas, if any lacks some."""
     underreplicated = [model for model in models if counts.get(model.name, 0) < model.min_replicas]
     if not underreplicated:
         return None
--- a/packages/control/src/sassafrastally/control/placement_settings.py
+++ b/packages/control/src/sassafrastally/control/placement_settings.py
@@ -12,7 +12,7 @@
     """Placement of models on engines."""
 
     lease_s: float = 12.0
-    """Time to live of the holder's lease; after the holder dies, the next one starts this late."""
+    """Time to live of the holder's lease; also the takeover delay after the holder dies."""
     attempt_s: float = 6.0
     """Mean time between two attempts of a candidate to acquire the lease."""
     candidates: int = 3
--- a/packages/control/tests/test_spread_history.py
+++ b/packages/control/tests/test_spread_history.py
@@ -97,7 +97,7 @@
 class TestNeverReverts:
     @pytest.mark.parametrize("seed", range(4))
     async def test_history(self, autojump_clock, fleet_of, make_bundle_of, seed):
-        """Nodes are partitioned, frozen or restarted, relays send old heads, the KV service fails.
+        """Nodes are cut off, frozen or restarted, relays send old heads, the KV service fails.
 
         If a node reverted to an older bundle, a limit that was lifted would apply again. At the
         end all faults are healed, and the last accepted generation is active on all nodes.
