--- a/packages/sidecar/benchmarks/request_path.py
+++ b/packages/sidecar/benchmarks/request_path.py
@@ -1,7 +1,8 @@
-"""Measure the sidecar's processor time on the request path, on one core and in one process.
+"""Measure the CPU time that the sidecar spends on the request path, in one process on one core.
 
-Run as ``python packages/sidecar/benchmarks/request_path.py``. The engine is a stub without cost and
-the streams are lists, so that what is measured is the sidecar alone; links and engine come on top.
+Run as ``python packages/sidecar/benchmarks/request_path.py``. The engine is a
+stub that costs nothing and the streams are lists, so the figures cover the sidecar alone. Network
+links and a real engine add to them.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from sassafrastally.core.secret import Secret
 from sassafrastally.core.settings import ProcessSettings, Settings
 from sassafrastally.sidecar import SidecarService, SidecarSettings, build_sidecar
-from sassafrastally.sidecar.conversation import Conversations
+from sassafrastally.sidecar.conversation import AttemptStreams
 from sassafrastally.sidecar.engine import EngineChunk, EngineInfo, EngineUsage
 from sassafrastally.sidecar.placement_agent import PlacementAgentSettings
 from sassafrastally.stores import PlatformService
@@ -37,7 +38,7 @@
 PIECE = json.dumps({"id": "x" * 60, "choices": [{"index": 0, "text": "word "}]}).encode()
 ATTEMPTS = 200
 CHUNKS = 50_000
-WAITING = (0, 50, 200)
+RESERVED_AHEAD_COUNTS = (0, 50, 200)
 
 
 class _Run:
@@ -58,7 +59,7 @@
 
 
 class _Engine:
-    """An engine that answers at once."""
+    """An engine that answers immediately."""
 
     chunks = 1
 
@@ -80,7 +81,7 @@
 
 
 class _Stream:
-    """The entry's end: gives what is listed, then waits."""
+    """The entry's side of a stream: delivers the given messages, then blocks."""
 
     def __init__(self, messages):
         self._messages = messages
@@ -113,22 +114,22 @@
     )._replace(**changes)
 
 
-async def _serve(conversations, kernel, number, **changes):
+async def _serve(attempt_streams, kernel, number, **changes):
     reserve = _reserve(number, **changes)
     first = [Commit(*reserve[:2], kernel.incarnation, 900.0), Chunk(*reserve[:2], 0, 0, BODY)]
     stream = _Stream(first)
-    await conversations.on_reserve(stream, reserve)
+    await attempt_streams.on_reserve(stream, reserve)
     assert stream.end is not None and stream.end.outcome == "completed", stream.end
     return stream
 
 
-async def _measure(service, kernel, conversations, engine):
+async def _measure(service, kernel, attempt_streams, engine):
     for scheduler in ("naive", "lanes"):
-        for waiting in WAITING:
-            await _measure_reservations(service, kernel, conversations, scheduler, waiting)
+        for waiting in RESERVED_AHEAD_COUNTS:
+            await _measure_reservations(service, kernel, attempt_streams, scheduler, waiting)
     engine.chunks = CHUNKS
     start_s = time.process_time()
-    stream = await _serve(conversations, kernel, 10**9)
+    stream = await _serve(attempt_streams, kernel, 10**9)
     spent_us = (time.process_time() - start_s) * 1e6
     print(f"{spent_us / CHUNKS:.1f} us for each relayed token, {stream.sent - 2} chunks sent")
     start_s = time.process_time()
@@ -137,7 +138,7 @@
     print(f"{(time.process_time() - start_s) * 1e3:.0f} us for each load report")
 
 
-async def _measure_reservations(service, kernel, conversations, scheduler, waiting):
+async def _measure_reservations(service, kernel, attempt_streams, scheduler, waiting):
     from sassafrastally.control.bundle import Weights
     from sassafrastally.serving.scheduling import SCHEDULERS
 
@@ -148,7 +149,7 @@
     base = kernel.random.getrandbits(100)
     start_s = time.process_time()
     for number in range(ATTEMPTS):
-        await _serve(conversations, kernel, base + number, idempotent=True)
+        await _serve(attempt_streams, kernel, base + number, idempotent=True)
     spent_s = time.process_time() - start_s
     print(
         f"{scheduler}, {waiting} reserved ahead: {ATTEMPTS / spent_s:.0f} reserve, commit and run"
@@ -177,9 +178,9 @@
     service = kernel.get("sidecar", SidecarService)
     async with trio.open_nursery() as nursery:
         await nursery.start(kernel.run)
-        conversations = service.conversations
-        assert isinstance(conversations, Conversations)
-        await _measure(service, kernel, conversations, engine)
+        attempt_streams = service.attempt_streams
+        assert isinstance(attempt_streams, AttemptStreams)
+        await _measure(service, kernel, attempt_streams, engine)
         nursery.cancel_scope.cancel()
 
 
--- a/packages/sidecar/src/sassafrastally/sidecar/__init__.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The sidecar: the only one that talks to its backend server, and keeps the promises there."""
+"""The sidecar: the only client of its backend server, enforcing request guarantees there."""
 
 from __future__ import annotations
 
--- a/packages/sidecar/src/sassafrastally/sidecar/admission.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what is reserved and what is refused at once."""
+"""Admission control: decides whether an attempt is reserved or refused immediately."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from sassafrastally.serving.outcome import AttemptState
 from sassafrastally.serving.refusals import Figures, Refusal
 from sassafrastally.sidecar.attempt_key import AttemptKey
-from sassafrastally.sidecar.attempts import RETRY_FULL_S, Attempt
-from sassafrastally.sidecar.segments import LAPSE_STRETCH
+from sassafrastally.sidecar.attempts import TABLE_FULL_RETRY_S, Attempt
+from sassafrastally.sidecar.segments import SEGMENT_LAPSE_FACTOR
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -23,7 +23,7 @@
 
 
 class Reservation(NamedTuple):
-    """Room that was found for an attempt."""
+    """Capacity reserved for an attempt."""
 
     attempt: Attempt
     backend: Backend
@@ -31,20 +31,22 @@
 
 
 class Admission:
-    """Decides on reservations; nothing in it waits, so two can't take the same room.
+    """Decides on reservations.
+
+    No method awaits, so two concurrent reservations can't take the same capacity.
 
     Parameters
     ----------
     clock
         The process's clock.
     settings
-        The bounds.
+        The limits.
     table
         All attempts.
     answers
-        Where answers grow.
+        Store for the answers of admitted attempts.
     leaving
-        Whether the backend server leaves.
+        Whether the backend server is leaving.
     """
 
     def __init__(
@@ -61,12 +63,12 @@
         self._answers = answers
         self._leaving = leaving
         self.engine: Backend | None = None
-        """The model engine, if there is one here."""
+        """The model engine, if this sidecar has one."""
         self.services: Mapping[str, Backend] = {}
-        """Plain services by name."""
+        """Plain services, by name."""
 
     def backend_of(self, reserve: Reserve) -> Backend:
-        """Return the backend server's part that an attempt is for; raises `Refusal`."""
+        """Return the backend that an attempt targets; raises `Refusal` when there is none."""
         if reserve.service:
             if (service := self.services.get(reserve.service)) is not None:
                 return service
@@ -76,7 +78,7 @@
         raise Refusal("no-replica", Figures(detail=f"{target} is not served here"))
 
     def reserve(self, reserve: Reserve) -> Reservation:
-        """Reserve room for an attempt; raises `Refusal`."""
+        """Reserve capacity for an attempt; raises `Refusal` when it isn't admitted."""
         now_s = self._clock.now_s()
         self._check_known(AttemptKey(reserve.request_id, reserve.attempt), now_s)
         if self._leaving.is_leaving:
@@ -90,30 +92,33 @@
         attempt = Attempt(reserve, answer, now_s, self._settings.reservation_lapse_s)
         backend.register(attempt, admitted)
         if attempt.segment is not None:
-            wait_s = LAPSE_STRETCH * reserve.starts_in_s
+            wait_s = SEGMENT_LAPSE_FACTOR * reserve.starts_in_s
             attempt.lapses_at_s = min(attempt.lapses_at_s + wait_s, attempt.deadline_s)
         self._table.add(attempt)
         return Reservation(attempt, backend, admitted)
 
     def refuse_commit(self, key: AttemptKey) -> Refusal:
-        """Return why a commit without a reservation of its own is refused; it never runs."""
+        """Return the refusal for a commit without a matching reservation.
+
+        An absent attempt is marked as voided, so that it never runs.
+        """
         now_s = self._clock.now_s()
         state = self._table.state(key, now_s)
         if state is AttemptState.ABSENT:
             self._table.void_absent(key, now_s)
-        return _of_state(state)
+        return _refusal_for_state(state)
 
     def _check_known(self, key: AttemptKey, now_s: float) -> None:
         state = self._table.state(key, now_s)
-        # What is no longer known is let in: it was idempotent, or it is new.
+        # An attempt that is no longer known is admitted: it was idempotent, or it is new.
         if state not in (AttemptState.ABSENT, AttemptState.OTHER_INCARNATION):
-            raise _of_state(state)
+            raise _refusal_for_state(state)
 
     def _check_bounds(self, reserve: Reserve, now_s: float) -> None:
-        if (bound := self._table.bound_reached(now_s)) is not None:
+        if (reached := self._table.limit_reached(now_s)) is not None:
             raise Refusal(
                 "overloaded",
-                Figures(bound.limit, bound.measured, bound.retry_after_s, bound.items),
+                Figures(reached.limit, reached.measured, reached.retry_after_s, reached.items),
             )
         body_bytes = self._table.body_bytes + reserve.body_size_bytes
         limit_bytes = self._settings.max_body_bytes
@@ -121,15 +126,15 @@
             raise Refusal("body-too-large", Figures(limit_bytes, reserve.body_size_bytes))
         if body_bytes > limit_bytes:
             raise Refusal(
-                "overloaded", Figures(limit_bytes, body_bytes, RETRY_FULL_S, "body bytes")
+                "overloaded", Figures(limit_bytes, body_bytes, TABLE_FULL_RETRY_S, "body bytes")
             )
 
 
-def _of_state(state: AttemptState) -> Refusal:
-    """Return why an attempt in a state can't be reserved or committed again.
+def _refusal_for_state(state: AttemptState) -> Refusal:
+    """Return the refusal for reserving or committing an attempt in the given state.
 
-    What is reserved or committed elsewhere may run or have run, so its refusal must not read as
-    proof that it has not.
+    An attempt that is already reserved or committed may be running or may have run, so its refusal
+    must not be taken as proof that it has not run.
     """
     if state is AttemptState.ABSENT:
         return Refusal("no-replica", Figures(detail="no reservation"))
--- a/packages/sidecar/src/sassafrastally/sidecar/answer.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/answer.py
@@ -1,4 +1,4 @@
-"""Answers while they grow and after: numbered chunks that any reader can follow or fetch again."""
+"""Answer buffers: numbered chunks that readers can follow live or fetch again later."""
 
 from __future__ import annotations
 
@@ -15,63 +15,63 @@
     from sassafrastally.sidecar.settings import SidecarSettings
 
 JOINED_BYTES = MAX_CHUNK_BYTES // 2
-"""Pieces are joined into one chunk up to this size while the reader lags."""
+"""Maximum size of a chunk that is joined from pieces while the reader lags behind."""
 
 
 @error(7101)
 class AnswerNotKept(CodedError):
-    """The chunk asked for was let go at the bound of the answers' memory."""
+    """The requested chunk was evicted because the memory limit for answers was reached."""
 
 
 class Answer:
-    """One answer.
+    """The buffered answer of one attempt.
 
-    Pieces that no reader has asked for yet wait unnumbered and leave joined as one chunk. A chunk
-    keeps its number and its content from then on, so that every reader sees the same chunks.
+    Pieces that no reader has requested yet stay unnumbered and are later joined into one chunk.
+    Once numbered, a chunk keeps its number and content, so that all readers see the same chunks.
 
     Parameters
     ----------
     key
-        The attempt that it answers.
+        The attempt that the answer belongs to.
     """
 
     def __init__(self, key: AttemptKey) -> None:
         self.key = key
         self.size_bytes = 0
         self.sent_chunks = 0
-        """Number of the first chunk that no reader has been sent."""
+        """Number of the first chunk that was not sent to any reader."""
         self.end: End | None = None
-        """The end mark, once it has come."""
+        """The end mark, once it was received."""
         self.is_delivered = False
-        """Whether a reader was sent the end mark."""
+        """Whether the end mark was sent to a reader."""
         self.readers = 0
-        """Streams that follow the answer."""
+        """Number of streams that follow the answer."""
         self._chunks: deque[Chunk] = deque()
-        self._first = 0
+        self._first_sequence = 0
         self._pending: list[bytes] = []
         self._pending_bytes = 0
         self._pending_tokens = 0
         self._unsent_bytes = 0
         self._changed = trio.lowlevel.ParkingLot()
-        self._taken = trio.lowlevel.ParkingLot()
+        self._consumed = trio.lowlevel.ParkingLot()
 
     @property
     def chunk_count(self) -> int:
-        """Chunks numbered so far, those let go included."""
-        return self._first + len(self._chunks)
+        """Number of chunks numbered so far, including evicted ones."""
+        return self._first_sequence + len(self._chunks)
 
     @property
-    def first_kept(self) -> int:
-        """Number of the first chunk that is still here."""
-        return self._first
+    def first_kept_sequence(self) -> int:
+        """Number of the first chunk that is still kept."""
+        return self._first_sequence
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that no reader has been sent."""
+        """Number of bytes that were not sent to any reader."""
         return self._unsent_bytes
 
     def append(self, data: bytes, tokens: int) -> None:
-        """Add a piece; a long one is cut."""
+        """Add a piece, splitting it when it is longer than a chunk may be."""
         for start in range(0, len(data), JOINED_BYTES):
             piece = data[start : start + JOINED_BYTES]
             if self._pending_bytes + len(piece) > JOINED_BYTES:
@@ -84,65 +84,65 @@
         self._changed.unpark_all()
 
     def finish(self, end: End) -> None:
-        """Take in the end mark and count the chunks into it."""
+        """Store the end mark with the number of chunks filled in."""
         self._number_pending()
         self.end = end._replace(chunks=self.chunk_count)
         self._changed.unpark_all()
-        self._taken.unpark_all()
+        self._consumed.unpark_all()
 
     def chunk(self, sequence: int) -> Chunk | None:
-        """Return a chunk, ``None`` when it isn't there yet.
+        """Return a chunk, or ``None`` when it doesn't exist yet.
 
         Raises
         ------
         AnswerNotKept
-            When it was let go.
+            When the chunk was evicted.
         """
-        if sequence < self._first:
+        if sequence < self._first_sequence:
             raise AnswerNotKept(f"chunk {sequence} of {self.key.request_id} was let go")
         if sequence == self.chunk_count:
             self._number_pending()
-        place = sequence - self._first
-        return self._chunks[place] if place < len(self._chunks) else None
+        index = sequence - self._first_sequence
+        return self._chunks[index] if index < len(self._chunks) else None
 
     def mark_sent(self, chunk: Chunk) -> None:
-        """Note that a reader was sent a chunk."""
+        """Record that a chunk was sent to a reader."""
         if chunk.sequence == self.sent_chunks:
             self.sent_chunks += 1
             self._unsent_bytes -= len(chunk.data)
-            self._taken.unpark_all()
+            self._consumed.unpark_all()
 
     async def wait_change(self) -> None:
-        """Wait until a piece or the end has come."""
+        """Wait until a piece or the end mark is added."""
         await self._changed.park()
 
-    async def wait_taken(self) -> None:
-        """Wait until a reader was sent a chunk or left."""
-        await self._taken.park()
+    async def wait_consumed(self) -> None:
+        """Wait until a chunk is sent to a reader, a reader detaches or the answer ends."""
+        await self._consumed.park()
 
-    def leave(self) -> None:
-        """Note that a reader has left; a run that waited for it goes on."""
+    def remove_reader(self) -> None:
+        """Record that a reader has detached and wake a run that waits for it."""
         self.readers -= 1
-        self._taken.unpark_all()
+        self._consumed.unpark_all()
 
-    def drop_front(self) -> int:
-        """Let the oldest chunk go; return its bytes."""
+    def drop_oldest_chunk(self) -> int:
+        """Evict the oldest chunk and return its size in bytes."""
         chunk = self._chunks.popleft()
-        self._first += 1
+        self._first_sequence += 1
         if chunk.sequence >= self.sent_chunks:
-            self.sent_chunks = self._first
+            self.sent_chunks = self._first_sequence
             self._unsent_bytes -= len(chunk.data)
         self.size_bytes -= len(chunk.data)
         return len(chunk.data)
 
     @property
-    def has_sent_front(self) -> bool:
-        """Whether the oldest chunk kept was sent to a reader."""
-        return bool(self._chunks) and self._first < self.sent_chunks
+    def is_oldest_chunk_sent(self) -> bool:
+        """Whether the oldest kept chunk was sent to a reader."""
+        return bool(self._chunks) and self._first_sequence < self.sent_chunks
 
     @property
-    def has_front(self) -> bool:
-        """Whether a numbered chunk is kept."""
+    def has_chunks(self) -> bool:
+        """Whether any numbered chunk is kept."""
         return bool(self._chunks)
 
     def _number_pending(self) -> None:
@@ -161,18 +161,19 @@
 
 
 class AnswerStore:
-    """All answers of the process, within one bound.
+    """All answers of the process, within a shared memory limit.
 
     Parameters
     ----------
     settings
-        The bounds.
+        The limits.
 
     Notes
     -----
-    At the bound the oldest finished answers leave first, then the sent front of the largest
-    growing one, then the front of one that nobody reads. What is left are unsent bytes of
-    answers that are being read; their runs wait for their readers.
+    When the limit is exceeded, the oldest finished answers are evicted first, then the oldest
+    chunks already sent of unfinished answers, then the oldest chunks of unfinished answers
+    without readers; larger answers come first. What remains are unsent bytes of answers that are
+    being read; backpressure makes their runs wait for the readers.
     """
 
     def __init__(self, settings: SidecarSettings) -> None:
@@ -182,12 +183,12 @@
         self.size_bytes = 0
 
     def begin(self, key: AttemptKey) -> Answer:
-        """Return a new answer."""
+        """Create the answer of an attempt."""
         answer = self._growing[key] = Answer(key)
         return answer
 
     def find(self, key: AttemptKey) -> Answer | None:
-        """Return an answer that grows or is kept."""
+        """Return the unfinished or kept answer of an attempt."""
         if key in self._growing:
             return self._growing[key]
         kept = self._finished.get(key)
@@ -195,36 +196,36 @@
 
     @property
     def has_readers(self) -> bool:
-        """Whether an answer is on its way to a reader."""
+        """Whether any answer has a reader attached."""
         kept = (answer for answer, _ in self._finished.values())
         return any(answer.readers for answer in (*self._growing.values(), *kept))
 
-    def awaits_reader(self, since_s: float) -> bool:
-        """Return whether an answer that ended after a time was not delivered yet."""
+    def has_undelivered_since(self, since_s: float) -> bool:
+        """Return whether an answer that finished after the given time is still undelivered."""
         return any(
             finished_s > since_s and not answer.is_delivered
             for answer, finished_s in self._finished.values()
         )
 
     def append(self, answer: Answer, data: bytes, tokens: int) -> None:
-        """Add a piece to an answer and keep to the bound."""
+        """Add a piece to an answer, evicting chunks when the memory limit is exceeded."""
         answer.append(data, tokens)
         self.size_bytes += len(data)
         if self.size_bytes > self._settings.max_answer_bytes:
             self._make_room()
 
     async def wait_room(self, answer: Answer) -> None:
-        """Wait while too much of an answer is unsent."""
+        """Wait while too many bytes of an answer are unsent (backpressure on its run)."""
         while answer.readers and answer.unsent_bytes > self._settings.max_unsent_bytes:
-            await answer.wait_taken()
+            await answer.wait_consumed()
 
     def keep(self, answer: Answer, now_s: float) -> None:
-        """Keep a finished answer for a while."""
+        """Keep a finished answer until it expires or is evicted."""
         if self._growing.pop(answer.key, None) is not None:
             self._finished[answer.key] = (answer, now_s)
 
     def drop(self, key: AttemptKey) -> None:
-        """Let an answer go."""
+        """Remove an answer."""
         answer = self.find(key)
         if answer is None:
             return
@@ -233,7 +234,7 @@
         self.size_bytes -= answer.size_bytes
 
     def expire(self, now_s: float) -> None:
-        """Let finished answers go that are old enough."""
+        """Remove finished answers that have reached their maximum age."""
         oldest_s = now_s - self._settings.answer_age_s
         while self._finished:
             key, (_, finished_s) = next(iter(self._finished.items()))
@@ -242,13 +243,13 @@
             self.drop(key)
 
     def _make_room(self) -> None:
-        bound_bytes = self._settings.max_answer_bytes
-        while self.size_bytes > bound_bytes and self._finished:
+        limit_bytes = self._settings.max_answer_bytes
+        while self.size_bytes > limit_bytes and self._finished:
             self.drop(next(iter(self._finished)))
         largest_first = sorted(self._growing.values(), key=lambda each: -each.size_bytes)
         for answer in largest_first:
-            while self.size_bytes > bound_bytes and answer.has_sent_front:
-                self.size_bytes -= answer.drop_front()
+            while self.size_bytes > limit_bytes and answer.is_oldest_chunk_sent:
+                self.size_bytes -= answer.drop_oldest_chunk()
         for answer in largest_first:
-            while self.size_bytes > bound_bytes and not answer.readers and answer.has_front:
-                self.size_bytes -= answer.drop_front()
+            while self.size_bytes > limit_bytes and not answer.readers and answer.has_chunks:
+                self.size_bytes -= answer.drop_oldest_chunk()
--- a/packages/sidecar/src/sassafrastally/sidecar/assemble.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/assemble.py
@@ -1,4 +1,4 @@
-"""Puts a sidecar process together."""
+"""Assembles a sidecar process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from sassafrastally.sidecar.plain import Caller
 
 _DIALECT_MODULES = (dialects,)
-"""Imported so that their dialects are registered."""
+"""Imported for the side effect of registering their dialects."""
 
 
 def build_sidecar(
@@ -36,13 +36,13 @@
     Parameters
     ----------
     settings
-        Checked settings of the role ``sidecar``.
+        Validated settings of the role ``sidecar``.
     around
-        What the process stands on.
+        Platform services, network and clock of the process.
     engine
-        Client of the engine; made from the settings when it is ``None``.
+        Client of the engine; created from the settings when ``None``.
     services
-        Clients of the plain services by name; made from the settings when it is ``None``.
+        Clients of the plain services, by name; created from the settings when ``None``.
     """
     own = settings.get(SidecarSettings)
     kernel = make_kernel(settings, around)
--- a/packages/sidecar/src/sassafrastally/sidecar/attempt_key.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/attempt_key.py
@@ -1,4 +1,4 @@
-"""Names of attempts."""
+"""Identifiers of attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Name of an attempt."""
+    """Unique key of an attempt: the request id and the attempt number."""
 
     request_id: str
     attempt: int
--- a/packages/sidecar/src/sassafrastally/sidecar/backend.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/backend.py
@@ -1,4 +1,4 @@
-"""What engine and plain services have in common: the side of a run that touches the server."""
+"""Common interface of the model engine and plain services for running attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RunResult(NamedTuple):
-    """What a run that came to its end mark says of itself."""
+    """Result of a run that reached its end mark."""
 
     status: int = 200
     """HTTP status."""
@@ -23,7 +23,7 @@
 
 
 class Admitted(NamedTuple):
-    """What a backend server promises to a reservation."""
+    """Prediction and cache estimate for an admitted attempt."""
 
     prediction: Prediction
     cached_tokens: int
@@ -37,23 +37,23 @@
         ...
 
     def register(self, attempt: Attempt, admitted: Admitted) -> None:
-        """Note a reservation that `admit` let in, before anything else is admitted."""
+        """Record a reservation that `admit` accepted, before anything else is admitted."""
         ...
 
     async def run(self, attempt: Attempt) -> RunResult:
         """Wait for the attempt's turn and run it to its end mark.
 
-        Sets `Attempt.has_started` just before the server is asked.
+        Sets `Attempt.has_started` just before the request is sent to the server.
 
         Raises
         ------
         EngineUnavailable, EngineRefused
-            The server took no part of it.
+            The server did not process any of it.
         EngineFailed
-            It broke off or the server ended it without an end mark.
+            The run was interrupted, or the server ended it without an end mark.
         """
         ...
 
     async def release(self, attempt: Attempt) -> None:
-        """Free what the attempt holds on the server; called once on every way out of `run`."""
+        """Free the attempt's resources on the server; called once, however `run` ends."""
         ...
--- a/packages/sidecar/src/sassafrastally/sidecar/conversation.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/conversation.py
@@ -1,4 +1,4 @@
-"""The sidecar's end of each stream: one task a stream, written straight down."""
+"""Request-path streams from entries, each handled sequentially in a task of its own."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sassafrastally.serving.refusals import Figures, Refusal
 from sassafrastally.sidecar.answer import AnswerNotKept
 from sassafrastally.sidecar.attempt_key import AttemptKey
-from sassafrastally.sidecar.attempts import GivenUp
+from sassafrastally.sidecar.attempts import CancelReason
 from sassafrastally.sidecar.events import (
     REFUSALS,
     RESERVATIONS,
@@ -19,7 +19,7 @@
     AttemptReserved,
     ReservationVoided,
 )
-from sassafrastally.sidecar.runner import end_of
+from sassafrastally.sidecar.runner import make_end
 from sassafrastally.wire.link import LinkCut, StreamEnded
 from sassafrastally.wire.messages import (
     Attach,
@@ -44,8 +44,10 @@
     from sassafrastally.wire.link import Peers, Stream
     from sassafrastally.wire.messages import Message
 
-MEMBER_GRACES = 2
-"""So many times the usual grace a segment is kept for its leader when both lost their reader."""
+SEGMENT_GRACE_FACTOR = 2
+"""Multiple of the usual grace period for which an unread segment is kept.
+
+Its leader may have lost its reader too and needs the segment until its own grace period ends."""
 
 _OUTCOMES = {
     AttemptState.VOIDED: Outcome.NOT_RUN,
@@ -54,25 +56,25 @@
 }
 
 
-class Conversations:
-    """Serves the streams of entries.
+class AttemptStreams:
+    """Handles the request-path streams that entries open.
 
     Parameters
     ----------
     kernel
         The process.
     settings
-        Lapse and grace.
+        Reattach grace period and engine address.
     admission
-        Decides on reservations.
+        Admission control.
     table
         All attempts.
     answers
-        Their answers.
+        Answers of the attempts.
     runner
-        Runs what is committed.
+        Runs committed attempts.
     nursery
-        Where runs go on when their stream is gone.
+        Nursery in which runs continue after their stream is closed.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
         self._nursery = nursery
 
     def register(self, peers: Peers) -> None:
-        """Take the streams that begin with a message of the request path."""
+        """Register handlers for streams that begin with a request-path message."""
         peers.on_stream(Reserve, self.on_reserve)
         peers.on_stream(Commit, self.on_commit)
         peers.on_stream(Cancel, self.on_cancel)
@@ -102,7 +104,7 @@
         peers.on_stream(Attach, self.on_attach)
 
     async def on_reserve(self, stream: Stream, message: Message) -> None:
-        """Serve an attempt from its reservation to its end mark."""
+        """Handle an attempt from its reservation to its end mark."""
         assert isinstance(message, Reserve)
         try:
             reservation = self._admission.reserve(message)
@@ -115,17 +117,17 @@
             if await self._wait_commit(stream, attempt) and await self._receive_body(
                 stream, attempt
             ):
-                self._hand_over(reservation)
+                self._start_run(reservation)
         finally:
-            # Any way out before the whole body is here, a cut of the link among them, leaves an
-            # attempt that no server has seen. It is voided, so that nothing can run it later.
+            # If this ends before the whole body has arrived (for example because the link was
+            # cut), no server has seen the attempt. It is voided so that it can't run later.
             if not attempt.is_handed_over:
                 self._void(attempt, "the stream ended before the whole body came")
         if attempt.is_handed_over:
             await self._relay(stream, attempt.answer, attempt, 0)
 
     async def on_commit(self, stream: Stream, message: Message) -> None:
-        """Refuse a commit that comes without its reservation's stream."""
+        """Refuse a commit that arrives outside the stream of its reservation."""
         assert isinstance(message, Commit)
         key = AttemptKey(message.request_id, message.attempt)
         if message.incarnation != self._kernel.incarnation:
@@ -135,20 +137,20 @@
         await self._refuse(stream, key, refusal)
 
     async def on_cancel(self, stream: Stream, message: Message) -> None:
-        """Cancel an attempt of another stream and tell how it ended."""
+        """Cancel an attempt of another stream and report how it ended."""
         assert isinstance(message, Cancel)
         key = AttemptKey(message.request_id, message.attempt)
         now_s = self._kernel.clock.now_s()
         attempt = self._table.find(key, now_s)
         if attempt is None:
-            await stream.send(self._end_of_settled(key))
+            await stream.send(self._settled_end(key))
             return
         self._cancel(attempt, message.reason)
         await attempt.settled.wait()
-        await stream.send(self._end_of_settled(key))
+        await stream.send(self._settled_end(key))
 
     async def on_query(self, stream: Stream, message: Message) -> None:
-        """Tell what became of an attempt, and void it if asked to."""
+        """Report the state of an attempt, voiding an uncommitted one on request."""
         assert isinstance(message, Query)
         key = AttemptKey(message.request_id, message.attempt)
         if message.incarnation != self._kernel.incarnation:
@@ -158,7 +160,7 @@
         await stream.send(QueryReply(*key, self._kernel.incarnation, state.value))
 
     async def on_attach(self, stream: Stream, message: Message) -> None:
-        """Give the chunks of a committed attempt from a number on, and follow it live."""
+        """Send the chunks of a committed attempt from a given number on and follow it live."""
         assert isinstance(message, Attach)
         key = AttemptKey(message.request_id, message.attempt)
         now_s = self._kernel.clock.now_s()
@@ -175,18 +177,18 @@
         if answer is not None:
             await self._relay(stream, answer, attempt, message.from_sequence)
         elif (state := self._table.state(key, now_s)) in _OUTCOMES:
-            await stream.send(self._end_of_settled(key))
+            await stream.send(self._settled_end(key))
         else:
             refusal = Refusal("outcome-unknown", Figures(detail=f"{state.value} here"))
             await self._refuse(stream, key, refusal)
 
-    def _query(self, key: AttemptKey, voids: bool) -> AttemptState:
+    def _query(self, key: AttemptKey, is_voiding: bool) -> AttemptState:
         now_s = self._kernel.clock.now_s()
         attempt = self._table.find(key, now_s)
-        if voids and attempt is not None and attempt.state is AttemptState.RESERVED:
+        if is_voiding and attempt is not None and attempt.state is AttemptState.RESERVED:
             self._void(attempt, "voided by a query")
         state = self._table.state(key, now_s)
-        if voids and state is AttemptState.ABSENT:
+        if is_voiding and state is AttemptState.ABSENT:
             self._table.void_absent(key, now_s)
         return state
 
@@ -205,7 +207,7 @@
             str(self._settings.engine_address or "") if attempt.segment else "",
         )
 
-    def _hand_over(self, reservation: Reservation) -> None:
+    def _start_run(self, reservation: Reservation) -> None:
         attempt = reservation.attempt
         attempt.is_handed_over = True
         self._kernel.events.emit(AttemptCommitted(*attempt.key))
@@ -219,21 +221,21 @@
         with trio.move_on_at(attempt.lapses_at_s):
             message = await stream.receive()
         if message is None:
-            return await self._say_lapsed(stream, attempt)
-        return await self._take_commit(stream, attempt, message)
+            return await self._refuse_lapsed(stream, attempt)
+        return await self._handle_commit(stream, attempt, message)
 
-    async def _take_commit(self, stream: Stream, attempt: Attempt, message: Message) -> bool:
+    async def _handle_commit(self, stream: Stream, attempt: Attempt, message: Message) -> bool:
         now_s = self._kernel.clock.now_s()
         if isinstance(message, Cancel):
             self._cancel(attempt, message.reason)
-            await stream.send(self._end_of_settled(attempt.key))
+            await stream.send(self._settled_end(attempt.key))
             return False
-        # The time is looked at here and not left to the timer: when this process was frozen, the
-        # commit may be read before the timer has run, long after the sender has given it up.
+        # The lapse is checked here as well as by the timer: after a freeze of this process, the
+        # commit may be read before the timer fires, long after its sender has given up.
         if self._table.find(attempt.key, now_s) is None:
-            return await self._say_lapsed(stream, attempt)
+            return await self._refuse_lapsed(stream, attempt)
         if not isinstance(message, Commit) or message[:2] != attempt.key:
-            return await self._say_bad(stream, attempt, "its commit was expected")
+            return await self._refuse_malformed(stream, attempt, "its commit was expected")
         if message.incarnation != self._kernel.incarnation:
             self._void(attempt, "committed to another incarnation")
             refusal = Refusal("no-replica", Figures(detail="another incarnation"))
@@ -243,41 +245,45 @@
         return True
 
     async def _receive_body(self, stream: Stream, attempt: Attempt) -> bool:
-        left_bytes = attempt.reserve.body_size_bytes
-        while left_bytes > 0:
+        remaining_bytes = attempt.reserve.body_size_bytes
+        while remaining_bytes > 0:
             message: Message | None = None
             with trio.move_on_at(attempt.deadline_s):
                 message = await stream.receive()
             if message is None:
-                return await self._say_too_slow(stream, attempt)
+                return await self._end_time_limit_passed(stream, attempt)
             if isinstance(message, Cancel) or attempt.settled.is_set():
                 self._void(attempt, "cancelled before the whole body came")
-                await stream.send(self._end_of_settled(attempt.key))
+                await stream.send(self._settled_end(attempt.key))
                 return False
             if not isinstance(message, Chunk) or not _is_next(attempt, message):
-                return await self._say_bad(stream, attempt, "its next chunk was expected")
+                return await self._refuse_malformed(stream, attempt, "its next chunk was expected")
             attempt.body.append(message.data)
-            left_bytes -= len(message.data)
-        if left_bytes < 0:
-            return await self._say_bad(stream, attempt, "the body is longer than announced")
+            remaining_bytes -= len(message.data)
+        if remaining_bytes < 0:
+            return await self._refuse_malformed(
+                stream, attempt, "the body is longer than announced"
+            )
         return not attempt.settled.is_set()
 
     async def _relay(
         self, stream: Stream, answer: Answer, attempt: Attempt | None, sequence: int
     ) -> None:
-        """Send an answer from a chunk on to its end mark, and listen for a cancellation."""
+        """Send an answer from a chunk up to its end mark while watching for a cancellation."""
         answer.readers += 1
         delivered = False
         try:
             async with trio.open_nursery() as nursery:
                 if attempt is not None:
-                    nursery.start_soon(self._listen, stream, attempt, nursery.cancel_scope)
+                    nursery.start_soon(
+                        self._watch_for_cancel, stream, attempt, nursery.cancel_scope
+                    )
                 delivered = await self._send_answer(stream, answer, sequence)
                 nursery.cancel_scope.cancel()
         finally:
-            answer.leave()
-            if attempt is not None and not answer.readers and _ends_unread(attempt):
-                self._let_go(attempt, delivered)
+            answer.remove_reader()
+            if attempt is not None and not answer.readers and _is_cancelled_when_unread(attempt):
+                self._cancel_or_drop_unread(attempt, delivered)
 
     async def _send_answer(self, stream: Stream, answer: Answer, sequence: int) -> bool:
         try:
@@ -301,11 +307,13 @@
         except (LinkCut, StreamEnded):
             return False
 
-    async def _listen(self, stream: Stream, attempt: Attempt, scope: trio.CancelScope) -> None:
-        """Cancel the attempt when the entry says so; end the relay when the entry is gone.
+    async def _watch_for_cancel(
+        self, stream: Stream, attempt: Attempt, scope: trio.CancelScope
+    ) -> None:
+        """Cancel the attempt on request; stop the relay when the entry is gone.
 
-        A further commit on this stream is passed over: an answer to it between the chunks could be
-        read as one to the attempt.
+        A further commit on this stream is ignored: a reply to it between the chunks could be
+        mistaken for a reply to the attempt.
         """
         try:
             while True:
@@ -315,27 +323,27 @@
         except (LinkCut, StreamEnded):
             scope.cancel()
 
-    def _let_go(self, attempt: Attempt, delivered: bool) -> None:
-        """Give up what nobody reads: it may be run again, so nothing is lost but its memory."""
+    def _cancel_or_drop_unread(self, attempt: Attempt, delivered: bool) -> None:
+        """Drop a delivered answer, or cancel a run without readers after the grace period."""
         if delivered:
             self._answers.drop(attempt.key)
         elif not attempt.settled.is_set():
             self._nursery.start_soon(self._give_up_unread, attempt)
 
     async def _give_up_unread(self, attempt: Attempt) -> None:
-        with trio.move_on_after(self._grace_s(attempt)):
+        with trio.move_on_after(self._unread_grace_s(attempt)):
             await attempt.settled.wait()
         if not attempt.answer.readers and not attempt.settled.is_set():
-            attempt.give_up(GivenUp("", "nobody reads the answer any more"))
+            attempt.give_up(CancelReason("", "nobody reads the answer any more"))
 
-    def _grace_s(self, attempt: Attempt) -> float:
-        """Return how long a run may go unread; a segment's memory outlasts its leader's run."""
+    def _unread_grace_s(self, attempt: Attempt) -> float:
+        """Return how long a run may go unread; a segment must outlast its leader's run."""
         is_member = attempt.segment is not None and not attempt.segment.is_leader
-        return self._settings.reattach_grace_s * (MEMBER_GRACES if is_member else 1)
+        return self._settings.reattach_grace_s * (SEGMENT_GRACE_FACTOR if is_member else 1)
 
     def _cancel(self, attempt: Attempt, reason: str) -> None:
         if attempt.is_handed_over:
-            attempt.give_up(GivenUp("", f"cancelled: {reason}"))
+            attempt.give_up(CancelReason("", f"cancelled: {reason}"))
         else:
             self._void(attempt, f"cancelled: {reason}")
 
@@ -344,24 +352,24 @@
             self._answers.drop(attempt.key)
             return
         self._table.void(attempt, self._kernel.clock.now_s())
-        # Whoever has attached while the body was on its way waits for an end mark.
-        attempt.answer.finish(end_of(attempt, Outcome.NOT_RUN, "", reason))
+        # A reader that attached while the body was being received waits for an end mark.
+        attempt.answer.finish(make_end(attempt, Outcome.NOT_RUN, "", reason))
         self._answers.drop(attempt.key)
         self._kernel.events.emit(ReservationVoided(*attempt.key, reason))
 
-    async def _say_lapsed(self, stream: Stream, attempt: Attempt) -> bool:
+    async def _refuse_lapsed(self, stream: Stream, attempt: Attempt) -> bool:
         self._void(attempt, "lapsed")
         refusal = Refusal("no-replica", Figures(detail="reservation lapsed"))
         await self._refuse(stream, attempt.key, refusal)
         return False
 
-    async def _say_too_slow(self, stream: Stream, attempt: Attempt) -> bool:
+    async def _end_time_limit_passed(self, stream: Stream, attempt: Attempt) -> bool:
         self._void(attempt, "the time limit passed before the whole body came")
         detail = "the whole body didn't come within it"
-        await stream.send(end_of(attempt, Outcome.NOT_RUN, "time-limit-passed", detail))
+        await stream.send(make_end(attempt, Outcome.NOT_RUN, "time-limit-passed", detail))
         return False
 
-    async def _say_bad(self, stream: Stream, attempt: Attempt, detail: str) -> bool:
+    async def _refuse_malformed(self, stream: Stream, attempt: Attempt, detail: str) -> bool:
         self._void(attempt, detail)
         refusal = Refusal("bad-request", Figures(detail=detail))
         await self._refuse(stream, attempt.key, refusal)
@@ -375,8 +383,8 @@
         )
         await stream.send(Refused(*key, code, **figures._asdict()))
 
-    def _end_of_settled(self, key: AttemptKey) -> End:
-        """Return the end mark of an attempt that isn't live."""
+    def _settled_end(self, key: AttemptKey) -> End:
+        """Return the end mark of an attempt that is not live."""
         answer = self._answers.find(key)
         if answer is not None and answer.end is not None:
             return answer.end
@@ -389,15 +397,16 @@
         return End(*key, outcome=outcome.value, code=code)
 
 
-def _ends_unread(attempt: Attempt) -> bool:
-    """Return whether a run ends when nobody reads its answer any more.
+def _is_cancelled_when_unread(attempt: Attempt) -> bool:
+    """Return whether a run is cancelled when nobody reads its answer any more.
 
-    A leader of a span does even when it may not be repeated: the entry that is gone held the
-    other segments, and without them it would go on over memory that others write to.
+    Idempotent runs are, because they can be repeated. Every run of a span is too, even a leader
+    that may not be repeated: the entry that disconnected kept the other segments alive, and
+    without them the leader would read memory that other work overwrites.
     """
     return attempt.reserve.idempotent or attempt.segment is not None
 
 
 def _is_next(attempt: Attempt, chunk: Chunk) -> bool:
-    """Return whether a chunk is the next one of the attempt's own body."""
+    """Return whether a chunk is the next one of the attempt's body."""
     return chunk[:3] == (*attempt.key, len(attempt.body))
--- a/packages/sidecar/src/sassafrastally/sidecar/dialects.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/dialects.py
@@ -1,4 +1,4 @@
-"""Engine clients over the published interfaces of model engines."""
+"""Engine clients for the published HTTP interfaces of model engines."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 )
 from sassafrastally.sidecar.openai_form import (
     MAX_ANSWER_BYTES,
-    OpenAiEvents,
-    OpenAiWhole,
+    OpenAiDocument,
+    OpenAiEventStream,
     engine_body,
     parse_load,
     parse_object,
@@ -39,16 +39,16 @@
 CONNECT_LIMIT_S = 2.0
 
 CALL_LIMIT_S = 10.0
-"""Bound of a call that isn't a run; the run's own bound is its time limit."""
+"""Timeout of a call that is not a run; a run is bounded by its time limit."""
 
 ORDER_LIMIT_S = 600.0
-"""Bound of an order: loading a model takes its time."""
+"""Timeout of a placement order, which may load a model."""
 
 CANCEL_LIMIT_S = 2.0
-"""Bound of the cancel on the way out of a run; the sweep frees what it misses."""
+"""Timeout of the cancellation at the end of a run; the sweep frees what it misses."""
 
 _NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
-"""Failures after which the engine certainly got nothing."""
+"""Failures after which the engine has certainly received nothing."""
 
 _ADAPTER_PATHS = {
     "load_adapter": "/v1/load_lora_adapter",
@@ -58,10 +58,10 @@
 
 @ENGINE_DIALECTS.register("openai")
 class OpenAiDialect:
-    """Implements `Engine` over the completion interface that most engines publish.
+    """Implements `Engine` over the OpenAI-compatible interface that most engines publish.
 
-    What that interface lacks (streams, KV export and import, cache events, orders) goes to paths
-    under ``/extension``.
+    Functions missing from that interface (stream list, KV export and import, cache events, orders)
+    use paths under ``/extension``.
 
     Parameters
     ----------
@@ -76,7 +76,7 @@
             base_url=f"http://{address}",
             timeout=httpx.Timeout(CALL_LIMIT_S, connect=CONNECT_LIMIT_S),
             limits=limits,
-            # The bodies are read raw, so that their bounds hold for what arrives.
+            # Bodies are read without decoding, so that size limits apply to the received bytes.
             headers={"Accept-Encoding": "identity"},
             trust_env=False,
         )
@@ -86,69 +86,71 @@
         await self._client.aclose()
 
     async def describe(self) -> EngineInfo:
-        """Return what the engine is and holds."""
+        """Return the engine's identity, models and memory."""
         document = await self._call("GET", "/extension/describe")
         return _parse({**document, "models": tuple(document.get("models") or ())}, EngineInfo)
 
     @asynccontextmanager
-    async def generate(self, request: EngineRequest) -> AsyncIterator[OpenAiEvents | OpenAiWhole]:
-        """Begin a run; leaving the context cancels what still runs."""
+    async def generate(
+        self, request: EngineRequest
+    ) -> AsyncIterator[OpenAiEventStream | OpenAiDocument]:
+        """Start a run; leaving the context cancels it if it is unfinished."""
         body = engine_body(request)
-        run: OpenAiEvents | OpenAiWhole | None = None
+        run: OpenAiEventStream | OpenAiDocument | None = None
         may_run = True
         try:
             async with self._stream(request, body.content) as response:
                 if body.is_streamed:
-                    run = OpenAiEvents(response, body.shows_usage)
+                    run = OpenAiEventStream(response, body.shows_usage)
                 else:
-                    run = OpenAiWhole(response)
+                    run = OpenAiDocument(response)
                 yield run
         except (EngineUnavailable, EngineRefused):
             may_run = run is not None
             raise
         finally:
-            # A finished prefill without output holds its memory until exported or cancelled.
+            # A finished prefill-only run holds its memory until it is exported or cancelled.
             is_over = run is not None and run.usage is not None and request.max_output_tokens > 0
             if may_run and not is_over:
                 await self._cancel_quietly(request.stream_id)
 
     async def cancel(self, stream_id: str) -> bool:
-        """Cancel a run and free its memory; return whether the engine knew it."""
+        """Cancel a run and free its memory; return whether the engine knew the run."""
         document = await self._call("POST", "/abort_request", {"rid": stream_id})
         return bool(document.get("found", True))
 
     async def list_streams(self) -> list[EngineStream]:
-        """Return every holder of memory."""
+        """Return all runs, exports and imports that hold memory."""
         document = await self._call("GET", "/extension/streams")
         return _parse_list(document, "streams", EngineStream)
 
     async def export_kv(self, stream_id: str, handle: str) -> int:
-        """Keep a finished prefill's KV cache under a handle; return its blocks."""
+        """Export the KV cache of a finished prefill under a handle; return its block count."""
         body = {"stream_id": stream_id, "handle": handle}
         document = await self._call("POST", "/extension/exports", body)
         return int(document.get("blocks", 0))
 
     async def import_kv(self, handle: str, source: Address, blocks: int) -> None:
-        """Fetch an export from another engine and hold it under the same handle."""
+        """Fetch an export from another engine and store it under the same handle."""
         body = {"handle": handle, "source": str(source), "blocks": blocks}
         await self._call("POST", "/extension/imports", body)
 
     async def free_export(self, handle: str) -> bool:
-        """Free an export or import; return whether the engine knew it."""
+        """Free an export or import; return whether the engine knew the handle."""
         document = await self._call("DELETE", f"/extension/exports/{handle}")
         return bool(document.get("found"))
 
     async def load(self) -> EngineLoad:
-        """Return the engine's lagging load."""
+        """Return the load that the engine reports, which lags."""
         return parse_load(await self._fetch("GET", "/metrics"))
 
     async def cache_events(self, after: int) -> Sequence[CacheEvent]:
-        """Return the cache events after a sequence number, those that are known by now."""
+        """Return the cache events known so far after a sequence number."""
         document = await self._call("GET", f"/extension/cache_events?after={after}")
         return _parse_list(document, "events", CacheEvent)
 
     async def order(self, order: EngineOrder) -> None:
-        """Carry out an order; raises `EngineRefused` when the fence is old and checked."""
+        """Send a placement order; raises `EngineRefused` when the engine rejects an old fence."""
         path = _ADAPTER_PATHS.get(order.action)
         if path is None:
             await self._call("POST", "/extension/orders", order._asdict(), ORDER_LIMIT_S)
@@ -166,7 +168,7 @@
             path,
             content=content,
             headers={"X-Request-Id": request.stream_id, "Content-Type": "application/json"},
-            # The prefill may be long: reading is bounded by the time limit of the request.
+            # No read timeout, since prefill may be long; the request's time limit applies instead.
             timeout=httpx.Timeout(None, connect=CONNECT_LIMIT_S),
         )
         response = await self._send(built)
@@ -211,7 +213,7 @@
             try:
                 await self.cancel(stream_id)
             except (EngineUnavailable, EngineFailed, EngineRefused):
-                return  # The sidecar's sweep finds the stream in the engine's list.
+                return  # The sweep will find the stream in the engine's list.
 
 
 def _parse(document: dict[str, Any], kind: type[T]) -> T:
--- a/packages/sidecar/src/sassafrastally/sidecar/engine.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/engine.py
@@ -1,6 +1,6 @@
-"""Interface of a model engine, as the sidecar sees it.
+"""The interface through which the sidecar uses a model engine.
 
-Dialects implement it over the published interfaces of engines and are registered by name.
+Dialects implement it for the published interfaces of engines and are registered by name.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 class EngineInfo(NamedTuple):
-    """What an engine is and holds."""
+    """An engine's identity, models and memory."""
 
     incarnation: str
-    """Life of the engine process; a new one has an empty memory."""
+    """Identifies one start of the engine process; a new incarnation has empty memory."""
     models: tuple[str, ...]
-    """Models ready to serve, as ``name`` or ``name@version``."""
+    """Models that are ready, as ``name`` or ``name@version``."""
     block_tokens: int
     """Tokens in one KV-cache block."""
     total_blocks: int
     free_blocks: int
-    """Blocks held by no stream and no export; blocks that only cache a prefix count as free."""
+    """Blocks not held by a stream or export; blocks that only cache a prefix count as free."""
     checks_fencing: bool
     role: str = "general"
 
@@ -36,31 +36,31 @@
     """A run on the engine."""
 
     stream_id: str
-    """Name of the stream on the engine; the sidecar makes it, unique over its lives."""
+    """Id of the stream on the engine; chosen by the sidecar and unique across its restarts."""
     model: str
     operation: str
-    """Method and path of the published interface, such as ``POST /v1/chat/completions``."""
+    """HTTP method and path, such as ``POST /v1/chat/completions``."""
     body: bytes
     """The caller's JSON body."""
     prompt_tokens: int
     max_output_tokens: int
     priority: int
-    """Lower runs first, as engines have it."""
+    """Scheduling priority; a lower value runs first, as is usual for engines."""
     resume_from_tokens: int = 0
-    """Tokens of the answer already shown; the engine goes on after them."""
+    """Number of answer tokens already delivered; the engine continues after them."""
     import_handles: tuple[str, ...] = ()
-    """Exports whose KV cache the run starts from."""
+    """Handles of imported KV caches that the run starts from."""
 
 
 class EngineChunk(NamedTuple):
-    """A piece of an answer: one server-sent event's JSON without its framing."""
+    """A piece of an answer: the JSON of one server-sent event without its framing."""
 
     data: bytes
     tokens: int
 
 
 class EngineUsage(NamedTuple):
-    """The engine's own count at the end of a run."""
+    """Token usage that the engine reports at the end of a run."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -69,7 +69,7 @@
 
 
 class EngineStream(NamedTuple):
-    """One holder of memory in the engine's own list."""
+    """A run, export or import that holds memory, as listed by the engine."""
 
     stream_id: str
     kind: str
@@ -78,7 +78,7 @@
 
 
 class EngineLoad(NamedTuple):
-    """Load as the engine reports it; lags."""
+    """Load reported by the engine; it lags behind the actual load."""
 
     running: int
     waiting: int
@@ -86,20 +86,20 @@
 
 
 class CacheEvent(NamedTuple):
-    """The engine stored or dropped a prefix block; late and with gaps."""
+    """Notice that the engine stored or dropped a prefix block; may be late or missing."""
 
     sequence: int
-    """A jump by more than one is a gap."""
+    """A jump by more than one means that events are missing."""
     kind: str
     """``stored``, ``removed`` or ``cleared``."""
     prefix_hash: int
 
 
 class EngineOrder(NamedTuple):
-    """An order of placement."""
+    """A placement order."""
 
     fence: int
-    """Fencing number of the placement holder; an older one must not be obeyed."""
+    """Fencing token of the placement lease holder; orders with an older one must be rejected."""
     action: str
     """``load``, ``unload``, ``load_adapter``, ``unload_adapter`` or ``set_role``."""
     model: str
@@ -110,32 +110,32 @@
 
 @error(7001)
 class EngineUnavailable(CodedError):
-    """The engine can't be reached: the call had no effect."""
+    """The engine is unreachable; the call had no effect."""
 
 
 @error(7002)
 class EngineFailed(CodedError):
-    """The engine broke off a run, or ended it without its end mark."""
+    """The engine interrupted a run, or ended it without its end mark."""
 
 
 @error(7003)
 class EngineRefused(CodedError):
-    """The engine took no part of the call and says so: nothing ran."""
+    """The engine rejected the call; nothing ran."""
 
     def __init__(self, message: str, refusal_code: str = "no-replica") -> None:
         super().__init__(message)
         self.refusal_code = refusal_code
-        """Code of the refusal catalogue that is true of it."""
+        """Matching code of the refusal catalogue."""
 
 
 class EngineRun(Protocol):
-    """A run that has begun; iterate over its chunks, then read its usage."""
+    """A started run; iterate over its chunks, then read its usage."""
 
     usage: EngineUsage | None
-    """Set when the end mark has come; ``None`` after iteration means an incomplete answer."""
+    """Set once the end mark was received; ``None`` after iteration means an incomplete answer."""
 
     def __aiter__(self) -> AsyncIterator[EngineChunk]:
-        """Yield the chunks; raises `EngineFailed` when the run breaks off."""
+        """Yield the chunks; raises `EngineFailed` when the run is interrupted."""
         ...
 
 
@@ -143,56 +143,56 @@
     """A model engine."""
 
     async def describe(self) -> EngineInfo:
-        """Return what the engine is and holds."""
+        """Return the engine's identity, models and memory."""
         ...
 
     def generate(self, request: EngineRequest) -> AbstractAsyncContextManager[EngineRun]:
-        """Begin a run.
+        """Start a run.
 
-        Leaving the context cancels what still runs and closes the connection; memory is certain
-        to be free only after `cancel` or when `list_streams` no longer shows the stream.
+        Leaving the context cancels an unfinished run and closes the connection. Its memory is
+        known to be free only after `cancel` succeeds or `list_streams` no longer lists the stream.
 
         Raises
         ------
         EngineUnavailable, EngineRefused
             Nothing ran.
         EngineFailed
-            The connection broke after the request was sent: it may have run.
+            The connection failed after the request was sent, so it may have run.
         """
         ...
 
     async def cancel(self, stream_id: str) -> bool:
-        """Cancel a run and free its memory; return whether the engine knew it."""
+        """Cancel a run and free its memory; return whether the engine knew the run."""
         ...
 
     async def list_streams(self) -> list[EngineStream]:
-        """Return every holder of memory."""
+        """Return all runs, exports and imports that hold memory."""
         ...
 
     async def export_kv(self, stream_id: str, handle: str) -> int:
-        """Keep a finished prefill's KV cache under a handle; return its blocks."""
+        """Export the KV cache of a finished prefill under a handle; return its block count."""
         ...
 
     async def import_kv(self, handle: str, source: Address, blocks: int) -> None:
-        """Fetch an export from another engine and hold it under the same handle."""
+        """Fetch an export from another engine and store it under the same handle."""
         ...
 
     async def free_export(self, handle: str) -> bool:
-        """Free an export or import; return whether the engine knew it."""
+        """Free an export or import; return whether the engine knew the handle."""
         ...
 
     async def load(self) -> EngineLoad:
-        """Return the engine's lagging load."""
+        """Return the load that the engine reports, which lags."""
         ...
 
     async def cache_events(self, after: int) -> Sequence[CacheEvent]:
-        """Return the cache events after a sequence number, those that are known by now."""
+        """Return the cache events known so far after a sequence number."""
         ...
 
     async def order(self, order: EngineOrder) -> None:
-        """Carry out an order; raises `EngineRefused` when the fence is old and checked."""
+        """Send a placement order; raises `EngineRefused` when the engine rejects an old fence."""
         ...
 
 
 ENGINE_DIALECTS: Registry[Callable[[Address], Engine]] = Registry("engine dialect")
-"""Makers of engine clients by dialect name."""
+"""Factories of engine clients, by dialect name."""
--- a/packages/sidecar/src/sassafrastally/sidecar/engine_backend.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/engine_backend.py
@@ -1,4 +1,4 @@
-"""Runs on the model engine: from the queue over the stream to freed memory."""
+"""Runs attempts on the model engine: queueing, streaming and freeing of memory."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     from sassafrastally.wire.messages import Reserve
 
 DECODE_SAMPLE_TOKENS = 32
-"""So many tokens make one sample of the decode rate."""
+"""Number of tokens in one sample of the decode rate."""
 
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
 
 
 def stream_id_of(incarnation: str, key: AttemptKey) -> str:
-    """Return the name of an attempt's stream on the engine, unique over the sidecar's lives."""
+    """Return the id of an attempt's engine stream, unique across restarts of the sidecar."""
     return f"{incarnation}-{key.request_id}-{key.attempt}"
 
 
@@ -52,19 +52,19 @@
     kernel
         The process.
     settings
-        Bounds and limits.
+        Limits.
     engine
         Client of the engine.
     watch
-        What is known of the engine.
+        Monitor of the engine's state.
     ledger
-        Its memory.
+        Ledger of the engine's memory.
     queue
-        Its work.
+        Queue of the engine's work.
     table
         All attempts.
     answers
-        Where answers grow.
+        Store for the answers of attempts.
     """
 
     def __init__(
@@ -87,9 +87,9 @@
         self._table = table
         self._answers = answers
         self.segments = Segments(kernel, settings, engine, ledger)
-        """Imports and exports of spans."""
+        """KV imports and exports of span segments."""
         self.promises = Promises(table, ledger)
-        """Memory that is kept for segments of spans."""
+        """Memory reserved for segments of spans."""
 
     def admit(self, reserve: Reserve, now_s: float) -> Admitted:
         """Return the prediction for an attempt; raises `Refusal`."""
@@ -98,42 +98,44 @@
         if not self._watch.serves(reserve.model):
             raise Refusal("no-replica", Figures(detail=f"{reserve.model} is not served here"))
         tokens = own_tokens(reserve) + reserve.max_output_tokens
-        most = self._ledger.total_blocks * self._ledger.block_tokens
-        if tokens > most:
-            raise Refusal("no-span", Figures(most, tokens, detail="more than this engine holds"))
+        capacity_tokens = self._ledger.total_blocks * self._ledger.block_tokens
+        if tokens > capacity_tokens:
+            raise Refusal(
+                "no-span", Figures(capacity_tokens, tokens, detail="more than this engine holds")
+            )
         if reserve.segment_tokens:
             self.promises.check_room(self.segments.blocks(reserve), now_s)
         work = self._work(reserve, now_s)
         prediction = self._predict(work, reserve)
         if math.isinf(prediction.total_s):
-            raise self._no_room(work)
+            raise self._memory_full_refusal(work)
         if prediction.total_s > reserve.time_limit_s:
-            raise self._unreachable(work, prediction, reserve.time_limit_s)
+            raise self._time_limit_refusal(work, prediction, reserve.time_limit_s)
         alone_s = self._queue.scheduler.cost.prefill_s(work.prompt_tokens - work.cached_tokens)
         wait_s = prediction.first_token_s - alone_s
         if 0 < reserve.max_wait_s < wait_s:
             raise Refusal("busy", Figures(reserve.max_wait_s, wait_s, wait_s))
         if not reserve.segment_tokens:
-            self.promises.check_beside(work, prediction.total_s, now_s)
+            self.promises.check_backfill(work, prediction.total_s, now_s)
         return Admitted(prediction, work.cached_tokens)
 
     def register(self, attempt: Attempt, admitted: Admitted) -> None:
-        """Let the attempt count for the predictions of those that come after it."""
+        """Include the attempt in the predictions for later attempts."""
         work = self._work(attempt.reserve, attempt.arrived_s)
         attempt.work = work._replace(cached_tokens=admitted.cached_tokens)
         attempt.stream_id = stream_id_of(self._kernel.incarnation, attempt.key)
         attempt.segment = self.segments.describe(
             attempt.reserve,
             attempt.arrived_s,
-            self._segment_s(attempt.reserve),
+            self._segment_prefill_s(attempt.reserve),
             admitted.prediction.first_token_s,
         )
 
     def expected_work(self) -> list[Work]:
-        """Return the work that is reserved or waits.
+        """Return the work that is reserved or waiting.
 
-        Segments that are only promised are left out: they start when others are done, and until
-        then their memory is refused to other work by itself.
+        Segments that wait for earlier segments are excluded: until they are due, the admission
+        check for promised memory already protects their blocks from other work.
         """
         return [
             a.work
@@ -142,7 +144,7 @@
         ]
 
     def _is_due(self, attempt: Attempt) -> bool:
-        """Return whether a segment waits for its turn: the ones before it are done."""
+        """Return whether the segments before this one are done, so that it waits for its turn."""
         return attempt.is_handed_over and not self._ledger.holds(attempt.stream_id)
 
     async def run(self, attempt: Attempt) -> RunResult:
@@ -152,7 +154,7 @@
         body = attempt.take_body()
         is_streamed = _asks_for_stream(body)
         stream_id = attempt.stream_id
-        await self._queue.turn(attempt.work, stream_id)
+        await self._queue.wait_turn(attempt.work, stream_id)
         if attempt.segment is not None:
             await self.segments.fetch(attempt)
         now_s = self._kernel.clock.now_s()
@@ -173,7 +175,7 @@
             async with self._engine.generate(request) as run:
                 if attempt.segment is not None and not attempt.segment.is_leader:
                     await self._hold_segment(attempt, run)
-                usage = await self._follow(attempt, run, is_streamed)
+                usage = await self._relay_chunks(attempt, run, is_streamed)
         except (EngineUnavailable, EngineRefused):
             attempt.has_started = False
             raise
@@ -182,9 +184,10 @@
         return RunResult(200, content_type, *usage)
 
     async def _hold_segment(self, attempt: Attempt, run: EngineRun) -> None:
-        """Compute and export a segment, announce it and keep it until the attempt is given up.
+        """Compute, export and announce a segment, then hold it until the attempt is cancelled.
 
-        Inside the run's context: leaving it frees the blocks of a run that isn't exported yet.
+        This runs inside the run's context: leaving the context frees the blocks of a run that
+        was not exported yet.
         """
         async for _ in run:
             pass
@@ -192,15 +195,15 @@
             raise EngineFailed("the engine ended the segment without its end mark")
         self._table.release_body(attempt)
         done = await self.segments.export(attempt)
-        self._queue.leave(attempt.key)
+        self._queue.remove(attempt.key)
         await self.segments.free_imports(attempt)
         self._answers.append(attempt.answer, done, 0)
         await trio.sleep_forever()
 
     async def release(self, attempt: Attempt) -> None:
-        """Free the blocks; a run that was cut is cancelled on the engine first."""
+        """Free the attempt's blocks, cancelling an interrupted run on the engine first."""
         stream_id = attempt.stream_id
-        self._queue.leave(attempt.key)
+        self._queue.remove(attempt.key)
         if attempt.segment is not None:
             await self.segments.free_all(attempt)
         if not self._ledger.holds(stream_id):
@@ -209,10 +212,10 @@
             self._ledger.free(stream_id)
         else:
             await self._cancel(stream_id)
-        self._queue.notice_change()
+        self._queue.notify_change()
 
     async def _cancel(self, stream_id: str) -> None:
-        self._ledger.disown(stream_id, self._kernel.clock.now_s())
+        self._ledger.mark_orphaned(stream_id, self._kernel.clock.now_s())
         with trio.move_on_after(self._settings.cancel_limit_s) as scope:
             try:
                 await self._engine.cancel(stream_id)
@@ -224,34 +227,36 @@
             return
         self._ledger.free(stream_id)
 
-    async def _follow(self, attempt: Attempt, run: EngineRun, is_streamed: bool) -> EngineUsage:
-        started_s = mark_s = self._kernel.clock.now_s()
+    async def _relay_chunks(
+        self, attempt: Attempt, run: EngineRun, is_streamed: bool
+    ) -> EngineUsage:
+        started_s = sample_start_s = self._kernel.clock.now_s()
         first_token_s: float | None = None
-        busy = self._queue.running_count
+        running_before = self._queue.running_count
         cost = self._queue.scheduler.cost
         tokens = 0
         async for chunk in run:
             now_s = self._kernel.clock.now_s()
             if first_token_s is None:
-                first_token_s = mark_s = now_s
+                first_token_s = sample_start_s = now_s
                 self._table.release_body(attempt)
             else:
                 tokens += chunk.tokens
-            self._queue.note_tokens(attempt.key, chunk.tokens)
+            self._queue.record_tokens(attempt.key, chunk.tokens)
             data = b"data: " + chunk.data + b"\n\n" if is_streamed else chunk.data
             self._answers.append(attempt.answer, data, chunk.tokens)
             if is_streamed and tokens >= DECODE_SAMPLE_TOKENS:
-                cost.observe_decode(tokens, now_s - mark_s, self._queue.running_count)
-                tokens, mark_s = 0, now_s
+                cost.observe_decode(tokens, now_s - sample_start_s, self._queue.running_count)
+                tokens, sample_start_s = 0, now_s
             await self._answers.wait_room(attempt.answer)
         if run.usage is None:
             raise EngineFailed("the engine ended the answer without its end mark")
         if attempt.segment is not None:
-            # The engine counts the whole prompt, most of which others computed.
+            # The usage covers the whole prompt, most of which other engines computed.
             return run.usage
         if is_streamed and first_token_s is not None:
             uncached = run.usage.prompt_tokens - run.usage.cached_tokens
-            cost.observe_first_token(uncached, first_token_s - started_s, busy)
+            cost.observe_first_token(uncached, first_token_s - started_s, running_before)
         self._watch.correct(attempt, run.usage)
         return run.usage
 
@@ -269,19 +274,19 @@
         )
 
     def _held_tokens(self, reserve: Reserve) -> int:
-        """Return the tokens of a prompt whose blocks stand on this engine, imports included."""
+        """Return the prompt tokens whose blocks are held on this engine, including imports."""
         if not reserve.segment_tokens:
             return reserve.prompt_tokens
         blocks = self.segments.blocks(reserve)
         return blocks * self._ledger.block_tokens - reserve.max_output_tokens
 
     def _predict(self, work: Work, reserve: Reserve) -> Prediction:
-        """Return when work would be served; a segment not before those ahead of it are done."""
+        """Predict when work is served; a segment starts only after the segments before it."""
         state = self._queue.state()
         prediction = self._queue.scheduler.predict(work, self.expected_work(), state)
         if not reserve.segment_tokens:
             return prediction
-        own_s = self._segment_s(reserve)
+        own_s = self._segment_prefill_s(reserve)
         wait_s = max(
             0.0,
             prediction.first_token_s
@@ -291,25 +296,31 @@
         answer_s = prediction.total_s - prediction.first_token_s
         return Prediction(done_s, done_s + answer_s)
 
-    def _segment_s(self, reserve: Reserve) -> float:
-        """Return how long a segment takes alone: its tokens look at all those before them."""
+    def _segment_prefill_s(self, reserve: Reserve) -> float:
+        """Return a segment's own prefill time; its tokens also attend to all earlier ones."""
         cost = self._queue.scheduler.cost
         before = reserve.prompt_tokens - reserve.segment_tokens
         if before <= 0:
             return cost.prefill_s(max(1, reserve.prompt_tokens))
         return cost.prefill_s(reserve.prompt_tokens) - cost.prefill_s(before)
 
-    def _no_room(self, work: Work) -> Refusal:
-        """Say that memory is held by what no prediction sees the end of.
+    def _memory_full_refusal(self, work: Work) -> Refusal:
+        """Return the refusal for memory that is held for an unpredictable time.
 
-        That is a segment of a span, which lasts as long as the span, or a hold whose end the
-        engine hasn't confirmed yet.
+        The holder is a segment, which lasts as long as its span, or a hold whose release the
+        engine has not confirmed yet.
         """
         need = self._ledger.blocks_for(work.prompt_tokens + work.output_tokens)
         return Refusal("memory-full", Figures(self._ledger.free_blocks, need, MIN_RETRY_S))
 
-    def _unreachable(self, work: Work, prediction: Prediction, time_limit_s: float) -> Refusal:
-        """Say when to come back: when what is ahead will be done, or never."""
+    def _time_limit_refusal(
+        self, work: Work, prediction: Prediction, time_limit_s: float
+    ) -> Refusal:
+        """Return the refusal for an unreachable time limit.
+
+        The retry-after time is when the work ahead will be done; it is 0 when the limit is too
+        short even on an idle engine.
+        """
         idle = self._queue.state()._replace(running=(), free_blocks=self._ledger.total_blocks)
         alone = self._queue.scheduler.predict(work, (), idle)
         retry_after_s = 0.0
@@ -321,7 +332,7 @@
 
 
 def _asks_for_stream(body: bytes) -> bool:
-    """Return whether a caller's JSON body asks for a streamed answer."""
+    """Return whether a JSON request body asks for a streamed answer."""
     if b'"stream"' not in body:
         return False
     try:
--- a/packages/sidecar/src/sassafrastally/sidecar/engine_watch.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/engine_watch.py
@@ -1,4 +1,4 @@
-"""What the sidecar knows of its engine, asked again and again, and the sweep of its memory."""
+"""Monitors the engine by polling and sweeps memory that no attempt owns."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sassafrastally.serving.prefix import PrefixGuess
 from sassafrastally.serving.spans import handle_of
-from sassafrastally.sidecar.attempts import GivenUp
+from sassafrastally.sidecar.attempts import CancelReason
 from sassafrastally.sidecar.engine import EngineFailed, EngineRefused, EngineUnavailable
 from sassafrastally.sidecar.events import (
     ORPHANS,
@@ -17,7 +17,7 @@
     EngineRestarted,
     OrphanFreed,
 )
-from sassafrastally.sidecar.segments import holds_of
+from sassafrastally.sidecar.segments import hold_names
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,20 +33,20 @@
 
 
 class EngineWatch:
-    """Looks at the engine: its life, its models, its memory and its prefix cache.
+    """Tracks the engine's incarnation, models, memory and prefix cache.
 
     Parameters
     ----------
     kernel
         The process.
     settings
-        Intervals and the models that may be served.
+        Polling intervals and the models that may be served.
     engine
         Client of the engine.
     ledger
-        Compared with the engine's own list.
+        Ledger of the engine's memory, reconciled with the engine's own list.
     table
-        Attempts whose runs break off when the engine's life ends.
+        Attempts whose runs fail when the engine restarts.
     """
 
     def __init__(
@@ -63,16 +63,16 @@
         self._ledger = ledger
         self._table = table
         self._prefixes = PrefixGuess()
-        self._life = ""
-        self._life_confirmed_s = float("-inf")
+        self._incarnation = ""
+        self._incarnation_confirmed_s = float("-inf")
         self.info: EngineInfo | None = None
-        """The engine's last word; ``None`` while it doesn't answer."""
+        """The latest description of the engine; ``None`` while it is unreachable."""
         self.on_change: Callable[[], None] = lambda: None
-        """Called when the engine has come, gone or freed memory."""
+        """Called when the engine becomes reachable or unreachable, or has freed memory."""
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Models served here, without their versions."""
+        """Names of the models served here, without versions."""
         if self.info is None:
             return ()
         names = dict.fromkeys(model.partition("@")[0] for model in self.info.models)
@@ -80,31 +80,31 @@
         return tuple(name for name in names if not allowed or name in allowed)
 
     def serves(self, model: str) -> bool:
-        """Return whether a model, with or without version, is ready here."""
+        """Return whether a model, given with or without version, is ready here."""
         if self.info is None or model.partition("@")[0] not in self.models:
             return False
         return "@" not in model or model in self.info.models
 
     def cached_tokens(self, reserve: Reserve) -> int:
-        """Return the guess of a prompt's tokens in the engine's prefix cache."""
+        """Return the estimated number of prompt tokens in the engine's prefix cache."""
         if not reserve.prefix_hashes:
             return 0
         return self._prefixes.cached_tokens(reserve.prefix_hashes, reserve.prompt_tokens)
 
     def correct(self, attempt: Attempt, usage: EngineUsage) -> None:
-        """Let the engine's own count correct the guess."""
+        """Correct the prefix cache estimate with the usage that the engine reported."""
         guessed = attempt.work.cached_tokens if attempt.work else 0
         self._prefixes.correct(attempt.reserve.prefix_hashes, guessed, usage.cached_tokens)
 
     async def look(self) -> None:
-        """Ask the engine what it is and take the answer in."""
-        asked_s = self._kernel.clock.now_s()
+        """Poll the engine's description and update the state from it."""
+        requested_s = self._kernel.clock.now_s()
         info = await self._describe()
         if info is None:
             return
-        if info.incarnation != self._life:
-            await self._begin_life(info)
-        self._life_confirmed_s = asked_s
+        if info.incarnation != self._incarnation:
+            await self._begin_incarnation(info)
+        self._incarnation_confirmed_s = requested_s
         self._ledger.set_engine(info)
         if self.info is None:
             models = ", ".join(info.models)
@@ -113,53 +113,53 @@
         self.on_change()
 
     async def sweep(self) -> None:
-        """Free what the engine holds for nobody.
+        """Free memory on the engine that has no owner.
 
-        Nobody else talks to the engine, so what the ledger doesn't own has lost its owner: streams
-        of an earlier life of this sidecar, exports that nobody fetched, runs whose cancellation
-        was not confirmed.
+        This sidecar is the engine's only client, so any stream without an owner in the ledger is
+        an orphan: a stream of an earlier incarnation of the sidecar, an export that was not
+        fetched in time, or a run whose cancellation was not confirmed.
         """
-        asked_s = self._kernel.clock.now_s()
+        requested_s = self._kernel.clock.now_s()
         try:
             listed = await self._engine.list_streams()
-            orphans = self._ledger.without_owner(listed, self._kernel.clock.now_s())
+            orphans = self._ledger.find_orphans(listed, self._kernel.clock.now_s())
             for orphan in orphans:
                 await self._free_orphan(orphan)
         except _ENGINE_ERRORS:
             return
-        self._ledger.settle_missing(listed, asked_s)
-        self._give_up_missing(listed, asked_s)
+        self._ledger.free_missing(listed, requested_s)
+        self._give_up_missing(listed, requested_s)
         self.on_change()
 
-    def _give_up_missing(self, listed: list[EngineStream], asked_s: float) -> None:
-        """End the exported segments that the engine no longer lists.
+    def _give_up_missing(self, listed: list[EngineStream], requested_s: float) -> None:
+        """Cancel exported segments that the engine no longer lists.
 
-        An engine that died and came back between two looks, just after an export, has none of it,
-        and no connection broke: a segment that is only kept has none.
+        An engine that crashed and restarted between two polls, just after an export, has lost the
+        segment. No connection failure reveals this, because a held segment has no connection.
         """
         present = {stream.stream_id for stream in listed}
         for attempt in self._table.live:
             hold = self._ledger.held.get(handle_of(*attempt.key))
-            if hold is None or not hold.blocks or hold.since_s >= asked_s:
+            if hold is None or not hold.blocks or hold.since_s >= requested_s:
                 continue
             if handle_of(*attempt.key) not in present:
-                attempt.give_up(GivenUp("backend-failed", "the engine lost the segment"))
+                attempt.give_up(CancelReason("backend-failed", "the engine lost the segment"))
 
     async def run(self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Look and sweep for as long as the process runs; started after the first look."""
+        """Poll and sweep until cancelled; reports as started after the first poll."""
         await self.look()
         task_status.started()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_looking)
-            nursery.start_soon(self._keep_sweeping)
+            nursery.start_soon(self._refresh_periodically)
+            nursery.start_soon(self._sweep_periodically)
 
-    async def _keep_looking(self) -> None:
+    async def _refresh_periodically(self) -> None:
         while True:
             await trio.sleep(self._settings.describe_interval_s)
             await self.look()
             await self._read_cache_events()
 
-    async def _keep_sweeping(self) -> None:
+    async def _sweep_periodically(self) -> None:
         while True:
             await trio.sleep(self._settings.sweep_interval_s)
             with trio.move_on_after(self._settings.cancel_limit_s):
@@ -170,12 +170,12 @@
             try:
                 return await self._engine.describe()
             except _ENGINE_ERRORS as cause:
-                self._lose(cause.detail)
+                self._mark_unreachable(cause.detail)
                 return None
-        self._lose("no answer in time")
+        self._mark_unreachable("no answer in time")
         return None
 
-    def _lose(self, detail: str) -> None:
+    def _mark_unreachable(self, detail: str) -> None:
         if self.info is not None:
             self._kernel.events.emit(EngineLost(detail))
             self.info = None
@@ -183,30 +183,30 @@
             self.on_change()
 
     def _give_up_exports(self) -> None:
-        """End the exported segments of an engine that doesn't answer.
+        """Cancel the exported segments of an unreachable engine.
 
-        Their leader reads from this engine's memory and doesn't notice that it is gone. The entry
-        does when the segment ends here, and ends the leader's run, whose answer would not rest on
-        the whole prompt.
+        The leader reads from this engine's memory and can't detect the loss. Ending the segment
+        here informs the entry, which then cancels the leader's run; otherwise the answer would not
+        be based on the whole prompt.
         """
         for attempt in self._table.live:
             if self._ledger.holds(handle_of(*attempt.key)):
-                attempt.give_up(GivenUp("backend-failed", "the engine doesn't answer"))
+                attempt.give_up(CancelReason("backend-failed", "the engine doesn't answer"))
 
-    async def _begin_life(self, info: EngineInfo) -> None:
-        """Start anew with an engine of another incarnation.
+    async def _begin_incarnation(self, info: EngineInfo) -> None:
+        """Reset the state for a new incarnation of the engine.
 
-        Holds made before the old life was last confirmed were certainly on the old engine and are
-        gone with it. A run that began later may already be on the new one, so its hold stays until
-        its run ends or a sweep finds it gone.
+        Holds made before the old incarnation was last confirmed were certainly on the old engine
+        and are lost with it. A later run may already be on the new engine, so its hold is kept
+        until the run ends or a sweep no longer finds it.
         """
-        if self._life:
-            gone = set(self._ledger.empty_before(self._life_confirmed_s))
-            self._kernel.events.emit(EngineRestarted(info.incarnation, len(gone)))
+        if self._incarnation:
+            dropped = set(self._ledger.drop_held_before(self._incarnation_confirmed_s))
+            self._kernel.events.emit(EngineRestarted(info.incarnation, len(dropped)))
             for attempt in self._table.live:
-                if not gone.isdisjoint(holds_of(attempt)):
-                    attempt.give_up(GivenUp("backend-failed", "the engine restarted"))
-        self._life = info.incarnation
+                if not dropped.isdisjoint(hold_names(attempt)):
+                    attempt.give_up(CancelReason("backend-failed", "the engine restarted"))
+        self._incarnation = info.incarnation
         self._prefixes.restart()
         with trio.move_on_after(self._settings.cancel_limit_s):
             await self.sweep()
--- a/packages/sidecar/src/sassafrastally/sidecar/event_stream.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/event_stream.py
@@ -1,4 +1,4 @@
-"""Reading of server-sent events within bounds."""
+"""A parser for server-sent events with size limits."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     from collections.abc import Iterator
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Longest event that is read."""
+"""Maximum size of an event."""
 
 _DATA = b"data:"
 
 
 @error(7040)
 class BadEventStream(CodedError):
-    """A stream of events breaks its bounds."""
+    """An event stream exceeds a size limit."""
 
 
 class EventReader:
-    """Cuts a byte stream into the data of its events.
+    """Splits a byte stream into the data of its events.
 
     Only ``data`` lines are read; comments and other fields are skipped.
     """
@@ -32,7 +32,7 @@
         self._data_bytes = 0
 
     def feed(self, piece: bytes) -> Iterator[bytes]:
-        """Take in a piece and yield the data of each event that it ends.
+        """Parse a piece and yield the data of each event that it completes.
 
         Raises
         ------
--- a/packages/sidecar/src/sassafrastally/sidecar/events.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/events.py
@@ -1,4 +1,4 @@
-"""Events and metrics of the sidecar."""
+"""Log events and metrics of the sidecar."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @event(7101, "debug")
 class AttemptReserved(NamedTuple):
-    """Room was promised to an attempt."""
+    """Capacity was reserved for an attempt."""
 
     request_id: str
     attempt: int
@@ -18,7 +18,7 @@
 
 @event(7102)
 class AttemptRefused(NamedTuple):
-    """An attempt was refused; it has not run and won't."""
+    """An attempt was refused; unless the refusal is ``outcome-unknown``, it has not run."""
 
     request_id: str
     attempt: int
@@ -30,7 +30,7 @@
 
 @event(7103, "debug")
 class AttemptCommitted(NamedTuple):
-    """A reservation was spent and the whole body is here."""
+    """A reservation was committed and the whole body was received."""
 
     request_id: str
     attempt: int
@@ -38,7 +38,7 @@
 
 @event(7104, "debug")
 class AttemptStarted(NamedTuple):
-    """The attempt was handed to the backend server."""
+    """The attempt was sent to the backend server."""
 
     request_id: str
     attempt: int
@@ -47,7 +47,7 @@
 
 @event(7105)
 class AttemptSettled(NamedTuple):
-    """The attempt is over."""
+    """The attempt has ended."""
 
     request_id: str
     attempt: int
@@ -68,14 +68,14 @@
 
 @event(7107, "warning")
 class CancelUnconfirmed(NamedTuple):
-    """The engine didn't confirm a cancellation; the blocks stay counted until the sweep."""
+    """The engine did not confirm a cancellation; its blocks stay held until the sweep."""
 
     stream_id: str
 
 
 @event(7108, "warning")
 class OrphanFreed(NamedTuple):
-    """The sweep freed memory that had no owner."""
+    """The sweep freed memory on the engine that had no owner."""
 
     stream_id: str
     kind: str
@@ -84,7 +84,7 @@
 
 @event(7109, "warning")
 class EngineRestarted(NamedTuple):
-    """The engine has a new incarnation with empty memory; the ledger starts anew."""
+    """The engine restarted with empty memory; the holds of the old incarnation are dropped."""
 
     engine_incarnation: str
     dropped_holds: int
@@ -92,14 +92,14 @@
 
 @event(7110, "warning")
 class EngineLost(NamedTuple):
-    """The engine can't be reached."""
+    """The engine is unreachable."""
 
     detail: str
 
 
 @event(7111)
 class EngineFound(NamedTuple):
-    """The engine answers."""
+    """The engine is reachable."""
 
     engine_incarnation: str
     total_blocks: int
@@ -108,21 +108,21 @@
 
 @event(7112)
 class LeavingBegan(NamedTuple):
-    """The backend server leaves: new reservations are refused from now on."""
+    """The backend server is leaving; new reservations are refused from now on."""
 
     reason: str
 
 
 @event(7113, "warning")
 class StopCutWork(NamedTuple):
-    """The limit for stopping passed while attempts were still under way."""
+    """The stop time limit passed while attempts were still in flight; they are cancelled."""
 
     attempts: int
 
 
 @event(7115)
 class SegmentExported(NamedTuple):
-    """A segment of a span is computed and its KV cache can be fetched."""
+    """A segment of a span was computed and its KV cache can be fetched."""
 
     request_id: str
     attempt: int
--- a/packages/sidecar/src/sassafrastally/sidecar/leaving.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/leaving.py
@@ -1,4 +1,4 @@
-"""Leaving: from whichever word comes first, no new reservation is made here."""
+"""Draining of a leaving backend server: no reservation is made after the first signal to leave."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class Leaving:
-    """Whether this backend server leaves.
+    """Tracks whether this backend server is leaving (draining).
 
     Parameters
     ----------
     kernel
-        The process; its stop signal is one way to say it.
+        The process; its stop signal also begins leaving.
     """
 
     def __init__(self, kernel: Kernel) -> None:
@@ -34,13 +34,13 @@
     def is_leaving(self) -> bool:
         """Whether new reservations are refused.
 
-        The kernel's signal is looked at itself: a reservation that comes between the signal and
-        the first step of `stop` must be refused too.
+        The kernel's stop signal is checked directly: a reservation that arrives between the signal
+        and the first step of `stop` must be refused too.
         """
         return self._began.is_set() or self._kernel.stopping.is_set()
 
     def begin(self, reason: str) -> None:
-        """Refuse new reservations from now on; there is no way back in this incarnation."""
+        """Refuse new reservations from now on; this can't be undone in this incarnation."""
         if self._began.is_set():
             return
         self._began.set()
@@ -48,7 +48,7 @@
         self.on_begin()
 
     async def watch_bundle(self, source: BundleSource) -> None:
-        """Begin to leave when a bundle in force lists this VM."""
+        """Begin leaving when the bundle in force lists this VM as draining."""
         generation = 0
         while True:
             in_force = await source.wait_for(generation + 1)
@@ -57,6 +57,6 @@
                 self.begin("bundle")
 
     async def watch(self, reason: str, event: trio.Event) -> None:
-        """Begin to leave when an event is set."""
+        """Begin leaving when an event is set."""
         await event.wait()
         self.begin(reason)
--- a/packages/sidecar/src/sassafrastally/sidecar/openai_form.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/openai_form.py
@@ -1,4 +1,4 @@
-"""The completion interface that most engines publish: bodies, answers and metrics."""
+"""Bodies, answers and metrics of the OpenAI-compatible interface that most engines publish."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
     from sassafrastally.sidecar.engine import EngineRequest
 
 MAX_ERROR_BYTES = 4096
-"""Most of an error's body that is shown."""
+"""Maximum size of the part of an error body that is included in the message."""
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer that is read whole."""
+"""Maximum size of an answer that is read as a whole."""
 
 END_MARK = b"[DONE]"
 
-REFUSING_STATUSES = frozenset({400, 401, 403, 404, 405, 409, 413, 415, 422, 429, 503})
-"""Statuses by which an engine says that it took no part of a call."""
+REJECTED_STATUSES = frozenset({400, 401, 403, 404, 405, 409, 413, 415, 422, 429, 503})
+"""Statuses with which an engine rejects a call without processing any of it."""
 
 LOAD_METRICS = ("vllm:num_requests_running", "vllm:num_requests_waiting", "kv_cache_free_blocks")
-"""Published metrics in the order of `EngineLoad`; the last one is an extension."""
+"""Names of the metrics in the field order of `EngineLoad`; the last one is an extension."""
 
 
 class EngineBody(NamedTuple):
-    """The body as the engine gets it, and what of it shapes the answer."""
+    """The request body for the engine and the options that determine the answer's format."""
 
     content: bytes
     is_streamed: bool
-    """Whether the caller asked for events; otherwise the answer is one chunk, the whole JSON."""
+    """Whether the caller requested events; otherwise the answer is a single JSON document."""
     shows_usage: bool
-    """Whether the caller asked for the event with the usage."""
+    """Whether the caller requested the usage event."""
 
 
-class OpenAiWhole:
+class OpenAiDocument:
     """A run whose answer is one JSON document."""
 
     def __init__(self, response: httpx.Response) -> None:
@@ -70,8 +70,8 @@
         return EngineChunk(data, self.usage.output_tokens)
 
 
-class OpenAiEvents:
-    """A run whose answer comes as server-sent events."""
+class OpenAiEventStream:
+    """A run whose answer is a stream of server-sent events."""
 
     def __init__(self, response: httpx.Response, shows_usage: bool) -> None:
         self.usage: EngineUsage | None = None
@@ -97,14 +97,15 @@
         try:
             piece = await anext(self._pieces)
             for data in self._reader.feed(piece):
-                self._take(data)
+                self._parse_event(data)
         except StopAsyncIteration:
-            # A short answer must not pass for a whole one: without the mark it is a failure.
+            # A truncated answer must not be taken for a complete one, so a missing end mark is an
+            # error.
             raise EngineFailed("the answer ended without its end mark") from None
         except (httpx.HTTPError, BadEventStream) as cause:
             raise EngineFailed(f"the answer broke off: {cause}") from cause
 
-    def _take(self, data: bytes) -> None:
+    def _parse_event(self, data: bytes) -> None:
         if self.usage is not None:
             return
         if data == END_MARK:
@@ -114,39 +115,39 @@
             return
         document = parse_object(data)
         if "error" in document:
-            raise EngineFailed(f"the engine broke off: {_message(document)}")
+            raise EngineFailed(f"the engine broke off: {_error_message(document)}")
         try:
-            self._take_document(document, data)
+            self._parse_event_document(document, data)
         except (AttributeError, KeyError, TypeError, ValueError) as cause:
             raise EngineFailed(f"the engine sent an event of another form: {cause!r}") from cause
 
-    def _take_document(self, document: dict[str, Any], data: bytes) -> None:
+    def _parse_event_document(self, document: dict[str, Any], data: bytes) -> None:
         choices = document.get("choices")
         usage = document.pop("usage", None)
         if choices:
-            self._take_choice(document, choices[0], usage)
+            self._parse_choice(document, choices[0], usage)
         elif usage:
             self._pending_usage = _parse_usage(usage)
             if self._shows_usage:
                 self._ready.append(EngineChunk(data, 0))
 
-    def _take_choice(self, document: dict[str, Any], choice: Any, usage: Any) -> None:
+    def _parse_choice(self, document: dict[str, Any], choice: Any, usage: Any) -> None:
         self._finish_reason = choice.get("finish_reason") or self._finish_reason
         tokens = 1
         if usage:
-            counted = int(usage.get("completion_tokens", self._counted_tokens + 1))
-            tokens, self._counted_tokens = max(0, counted - self._counted_tokens), counted
+            total_tokens = int(usage.get("completion_tokens", self._counted_tokens + 1))
+            tokens, self._counted_tokens = max(0, total_tokens - self._counted_tokens), total_tokens
         data = json.dumps(document, separators=(",", ":"), ensure_ascii=False).encode()
         self._ready.append(EngineChunk(data, tokens))
 
 
 def engine_body(request: EngineRequest) -> EngineBody:
-    """Return the caller's body with what the engine has to know besides.
+    """Return the caller's body with the fields added that the engine needs.
 
     Raises
     ------
     EngineRefused
-        When it is no JSON object.
+        When the body is not a JSON object.
     """
     try:
         document = json.loads(request.body)
@@ -156,9 +157,10 @@
     except (ValueError, AttributeError) as cause:
         raise EngineRefused(f"the body is no JSON object: {cause}") from cause
     if is_streamed:
-        # The count in every event is needed since an engine joins tokens into one under load.
-        asked = {"include_usage": True, "continuous_usage_stats": True}
-        document["stream_options"] = {**options, **asked}
+        # Every event needs a token count, because under load an engine joins several tokens into
+        # one event.
+        required = {"include_usage": True, "continuous_usage_stats": True}
+        document["stream_options"] = {**options, **required}
     document["model"] = request.model
     document.pop("max_completion_tokens", None)
     document["max_tokens"] = request.max_output_tokens
@@ -184,7 +186,7 @@
 
 
 def parse_object(data: bytes) -> dict[str, Any]:
-    """Return a JSON object; raises `EngineFailed` when it is none."""
+    """Parse a JSON object; raises `EngineFailed` when the data is not one."""
     try:
         document = json.loads(data)
     except ValueError as cause:
@@ -195,7 +197,7 @@
 
 
 def parse_load(content: bytes) -> EngineLoad:
-    """Read the load from Prometheus text; series of one name are added up."""
+    """Parse the load from Prometheus text format, summing the series of each metric."""
     metrics: dict[str, float] = {}
     for line in content.decode(errors="replace").splitlines():
         if line.startswith("#") or not line.strip():
@@ -209,13 +211,13 @@
     return EngineLoad(*(int(metrics.get(name, 0)) for name in LOAD_METRICS))
 
 
-def _message(document: dict[str, Any]) -> str:
+def _error_message(document: dict[str, Any]) -> str:
     problem = document.get("error", document)
     return str(problem.get("message", problem)) if isinstance(problem, dict) else str(problem)
 
 
 async def read_bounded(response: httpx.Response, limit: int) -> bytes:
-    """Return a whole body; raises `EngineFailed` when it breaks off or is longer."""
+    """Read a whole body; raises `EngineFailed` when it is interrupted or exceeds the limit."""
     content = b""
     try:
         async for piece in response.aiter_raw():
@@ -227,15 +229,15 @@
     return content
 
 
-CALLERS_STATUSES = frozenset({400, 413, 422})
-"""Refusals that lie in the request itself: another replica, or coming back, would not help."""
+REQUEST_ERROR_STATUSES = frozenset({400, 413, 422})
+"""Statuses caused by the request itself: neither another replica nor a retry would help."""
 
 
 async def raise_status(response: httpx.Response) -> NoReturn:
-    """Raise `EngineRefused` or `EngineFailed`, as the status says."""
+    """Raise `EngineRefused` or `EngineFailed`, depending on the status."""
     content = (await read_bounded(response, MAX_ANSWER_BYTES))[:MAX_ERROR_BYTES]
     text = f"status {response.status_code}: {content.decode(errors='replace')}"
-    if response.status_code in REFUSING_STATUSES:
-        is_callers = response.status_code in CALLERS_STATUSES
-        raise EngineRefused(text, "bad-request" if is_callers else "no-replica")
+    if response.status_code in REJECTED_STATUSES:
+        is_request_error = response.status_code in REQUEST_ERROR_STATUSES
+        raise EngineRefused(text, "bad-request" if is_request_error else "no-replica")
     raise EngineFailed(text)
--- a/packages/sidecar/src/sassafrastally/sidecar/placement_agent.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/placement_agent.py
@@ -1,7 +1,8 @@
-"""Carries out the orders of placement on the engine beside this sidecar.
+"""Executes placement orders on the engine of this sidecar.
 
-Engines that check fencing numbers refuse old orders themselves. Others have only this service: it
-keeps the highest number that it has seen, and it compares what the engine runs with the record.
+Engines that check fencing tokens reject outdated orders themselves. For other engines, this service
+is the only protection: it remembers the highest token it has seen and compares what the engine runs
+with the placement record.
 """
 
 from __future__ import annotations
@@ -45,17 +46,17 @@
 
 @section("placement_agent", "sidecar")
 class PlacementAgentSettings(NamedTuple):
-    """The sidecar's part of placement."""
+    """Settings of the sidecar's placement agent."""
 
     compare_interval_s: float = 5.0
-    """How often what the engine runs is compared with the record."""
+    """Interval at which what the engine runs is compared with the placement record."""
     describe_limit_s: float = 2.0
-    """Longest wait for the engine to say what it runs."""
+    """Timeout for the engine to describe what it runs."""
 
 
 @event(7120)
 class PlacementObeyed(NamedTuple):
-    """The engine carried out an order of placement."""
+    """The engine executed a placement order."""
 
     fence: int
     action: str
@@ -64,7 +65,7 @@
 
 @event(7121, "warning")
 class PlacementRefused(NamedTuple):
-    """An order of placement was refused, or the engine didn't carry it out."""
+    """A placement order was rejected, or the engine failed to execute it."""
 
     fence: int
     highest_fence: int
@@ -76,7 +77,7 @@
 
 @event(7122, "warning")
 class PlacementCorrected(NamedTuple):
-    """The engine ran something else than the record says and was put right."""
+    """The engine did not match the placement record and was sent a correcting order."""
 
     fence: int
     action: str
@@ -85,30 +86,30 @@
 
 @event(7123)
 class PlacementFenceLearned(NamedTuple):
-    """The highest fencing number was read from the record, and what the engine is to run."""
+    """The highest fencing token and the engine's intended models were read from the record."""
 
     fence: int
     models: str
 
 
-class _Overtaken(NamedTuple):
-    """What stands in the way of an order."""
+class _Rejection(NamedTuple):
+    """Why an order is rejected."""
 
     state: PlacementState
     detail: str
 
 
 class PlacementAgent(Service):
-    """Obeys placement orders of the highest fencing number only.
+    """Executes only placement orders that carry the highest known fencing token.
 
     Parameters
     ----------
     settings
-        Intervals.
+        Comparison interval and timeout.
     engine
-        Client of the engine; ``None`` when only plain services stand here.
+        Client of the engine; ``None`` when this sidecar has only plain services.
     pinned
-        Models that the sidecar's settings name; empty when placement may choose.
+        Models listed in the sidecar's settings; empty when placement may choose them.
     """
 
     name: ClassVar[str] = "placement-agent"
@@ -124,32 +125,32 @@
         self._engine = engine
         self._pinned = pinned
         self._highest: int | None = None
-        """``None`` until it was read from the record in this life."""
+        """Highest known fencing token; ``None`` until the record was read in this incarnation."""
         self._line: EngineLine | None = None
         self._reached: EngineLine | None = None
-        """Last line that the engine was seen to run; loads that go missing later are repaired."""
+        """Last record line that the engine fully matched; models missing later are loaded again."""
         self._adapters: set[str] = set()
-        """Adapters that placement has named; the settings pin models and not these."""
+        """Adapters named by placement; the settings pin models but not adapters."""
         self._order_lock = trio.Lock()
-        """One order at a time goes to the engine."""
+        """Ensures that only one order at a time is sent to the engine."""
 
     @property
     def highest_fence(self) -> int:
-        """Highest fencing number known in this life; 0 when none is."""
+        """Highest fencing token known in this incarnation; 0 when none is."""
         return self._highest or 0
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Take orders."""
+        """Register the order handler and start the periodic comparison."""
         platform = self.kernel.get("platform", PlatformService)
         self._kv = platform.kv
         self._weight_store = platform.weight_store
         peers = cast("Peers", self.kernel.get("peers", Service))
         peers.on_stream(PlacementOrder, self._on_order)
         if self._engine is not None:
-            nursery.start_soon(self._keep_comparing)
+            nursery.start_soon(self._compare_periodically)
 
     def status(self) -> dict[str, Any]:
-        """Return figures for the operators."""
+        """Return the placement status for operators."""
         line = self._line
         models = [placed.versioned_name for placed in line.models] if line else []
         return {"fence": self.highest_fence, "models": models}
@@ -158,65 +159,67 @@
         await stream.send(await self.obey(cast("PlacementOrder", message)))
 
     async def obey(self, order: PlacementOrder) -> PlacementReply:
-        """Carry out an order, or say why not."""
+        """Execute an order or report why it was rejected."""
         if self._engine is None:
             return PlacementReply(PlacementState.NO_ENGINE, self.highest_fence)
         try:
             if self._highest is None:
-                await self._learn()
+                await self._read_record()
         except (KvUnavailable, BadEncoding) as cause:
-            # After a restart the highest number is forgotten: an order of a holder that was
-            # replaced long ago would look new. Nothing is obeyed until the record was read.
-            return self._refuse(order, _Overtaken(PlacementState.FENCE_UNKNOWN, cause.detail))
-        if (overtaken := self._admit(order)) is not None:
-            return self._refuse(order, overtaken)
+            # A restart loses the highest fencing token, so an order of a lease holder that was
+            # replaced long ago would look current. No order is executed until the record is read.
+            return self._refuse(order, _Rejection(PlacementState.FENCE_UNKNOWN, cause.detail))
+        if (rejection := self._admit(order)) is not None:
+            return self._refuse(order, rejection)
         if order.action == PlacementAction.OBSERVE:
             return await self._report(PlacementState.DONE)
         async with self._order_lock:
             return await self._carry_out(order)
 
-    def _admit(self, order: PlacementOrder) -> _Overtaken | None:
-        """Raise the highest number to an order's; say when the order is older."""
+    def _admit(self, order: PlacementOrder) -> _Rejection | None:
+        """Raise the highest fencing token to the order's; return a rejection when it is older."""
         if order.fence < self.highest_fence:
-            return _Overtaken(PlacementState.OUTDATED, "a later holder has spoken")
+            return _Rejection(PlacementState.OUTDATED, "a later lease holder has sent an order")
         self._highest = order.fence
         return None
 
     async def _carry_out(self, order: PlacementOrder) -> PlacementReply:
         # Another order was under way: a later holder may have spoken meanwhile.
-        if (overtaken := self._admit(order)) is not None:
-            return self._refuse(order, overtaken)
+        if (rejection := self._admit(order)) is not None:
+            return self._refuse(order, rejection)
         try:
             info = await self._describe()
             if order.needed and order.needed not in info.models:
-                missing = _Overtaken(PlacementState.LAST_READY, f"{order.needed} isn't ready")
-                return self._refuse(order, missing)
-            # Asking the engine took time, in which a later holder may have spoken as well.
-            if (overtaken := self._admit(order)) is not None:
-                return self._refuse(order, overtaken)
+                rejection = _Rejection(PlacementState.LAST_READY, f"{order.needed} isn't ready")
+                return self._refuse(order, rejection)
+            # A later lease holder may have sent an order while the engine was being queried.
+            if (rejection := self._admit(order)) is not None:
+                return self._refuse(order, rejection)
             if order.action == PlacementAction.LOAD_ADAPTER:
                 self._adapters.add(order.adapter)
             if not _is_done(order, info):
-                await self._give(order.fence, _step_of(self.kernel.vm, order))
+                await self._send_order(order.fence, _step_of(self.kernel.vm, order))
         except _ENGINE_ERRORS as cause:
-            return self._refuse(order, _Overtaken(PlacementState.FAILED, cause.detail))
+            return self._refuse(order, _Rejection(PlacementState.FAILED, cause.detail))
         self.kernel.events.emit(PlacementObeyed(order.fence, order.action, _subject(order)))
         if order.fence < self.highest_fence:
-            # The engine took the order and a later holder spoke meanwhile: the next comparison
-            # puts right what this order did to an engine that ignores fencing.
-            outdated = _Overtaken(PlacementState.OUTDATED, "overtaken while it was carried out")
-            return self._refuse(order, outdated)
+            # A later lease holder sent an order while the engine executed this one. The next
+            # comparison reverts what this order did on an engine that ignores fencing.
+            rejection = _Rejection(
+                PlacementState.OUTDATED, "superseded by a later lease holder while it was executed"
+            )
+            return self._refuse(order, rejection)
         return await self._report(PlacementState.DONE)
 
-    def _refuse(self, order: PlacementOrder, overtaken: _Overtaken) -> PlacementReply:
+    def _refuse(self, order: PlacementOrder, rejection: _Rejection) -> PlacementReply:
         highest = self.highest_fence
         self.kernel.events.emit(
-            PlacementRefused(order.fence, highest, order.action, _subject(order), *overtaken)
+            PlacementRefused(order.fence, highest, order.action, _subject(order), *rejection)
         )
-        return PlacementReply(overtaken.state, highest, detail=overtaken.detail)
+        return PlacementReply(rejection.state, highest, detail=rejection.detail)
 
     async def _report(self, state: PlacementState) -> PlacementReply:
-        """Answer with what the engine runs, without the models that may not be served here."""
+        """Reply with what the engine runs, excluding models that may not be served here."""
         try:
             info = await self._describe()
         except _ENGINE_ERRORS as cause:
@@ -225,7 +228,7 @@
             state, self.highest_fence, self._allowed(info), info.role, bool(self._pinned)
         )
 
-    async def _give(self, fence: int, step: Step) -> None:
+    async def _send_order(self, fence: int, step: Step) -> None:
         assert self._engine is not None
         await self._engine.order(
             EngineOrder(fence, step.action, step.model, step.version, step.adapter, step.role)
@@ -235,7 +238,7 @@
         assert self._engine is not None
         with trio.move_on_after(self._settings.describe_limit_s):
             return await self._engine.describe()
-        raise EngineFailed("the engine doesn't say what it runs")
+        raise EngineFailed("the engine did not describe what it runs in time")
 
     def _allowed(self, info: EngineInfo) -> tuple[str, ...]:
         if not self._pinned:
@@ -243,8 +246,8 @@
         allowed = {*self._pinned, *self._adapters}
         return tuple(name for name in info.models if base_name(name) in allowed)
 
-    async def _learn(self) -> None:
-        """Read the highest fencing number and this engine's line from the record."""
+    async def _read_record(self) -> None:
+        """Read the highest fencing token and this engine's line from the record."""
         recorded = await read_line(self._kv, self.kernel.vm)
         if self._highest is None:
             placed = recorded.line.models if recorded.line else ()
@@ -254,80 +257,80 @@
         self._line = recorded.line
         self._adapters.update(recorded.line.adapters if recorded.line else ())
 
-    async def _keep_comparing(self) -> None:
+    async def _compare_periodically(self) -> None:
         while True:
             await trio.sleep(self._settings.compare_interval_s)
             try:
                 await self.compare()
             except (*_ENGINE_ERRORS, KvUnavailable, PlatformUnavailable, BadEncoding):
-                continue  # Compared again at the next interval.
+                continue  # Retried at the next interval.
 
     async def compare(self) -> None:
-        """Compare what the engine runs with the record and put it right.
+        """Compare what the engine runs with the record and correct differences.
 
-        Guards an engine that ignores fencing: an old order that was on its way, such as one that
-        an earlier life of this sidecar had sent, leaves an old version beside the new one, or
-        takes the new one away. The record is read again before anything is done, so that a line
-        that this sidecar has not yet heard of is never undone.
+        This protects an engine that ignores fencing: a delayed outdated order, such as one sent by
+        an earlier incarnation of this sidecar, may load an old version beside the new one or
+        unload the new one. The record is read again before any correction, so that a newer line
+        that this sidecar has not seen yet is never reverted.
 
         Raises
         ------
         EngineUnavailable, EngineFailed, EngineRefused
-            When the engine doesn't do it.
+            When the engine doesn't execute a correction.
         KvUnavailable, BadEncoding
-            When the record can't be read; nothing is done.
+            When the record can't be read; nothing is changed.
         PlatformUnavailable
-            When the weight store doesn't answer; nothing is loaded.
+            When the weight store is unavailable; nothing is loaded.
         """
         if self._highest is None:
-            await self._learn()
+            await self._read_record()
         if await self._difference() is None:
             return
-        paid: Step | None = None
-        while (load := await self._correct(paid)) is not None:
+        booked: Step | None = None
+        while (load := await self._correct(booked)) is not None:
             await self._wait_for_weights(load)
-            paid = load
+            booked = load
 
-    async def _correct(self, paid: Step | None) -> Step | None:
-        """Give the engine what is missing; return a load for which weights must be booked first.
+    async def _correct(self, booked: Step | None) -> Step | None:
+        """Send correcting orders; return a load that needs a weight store reservation first.
 
         Parameters
         ----------
-        paid
-            The load for which weights were booked.
+        booked
+            The load for which the weight store was reserved.
         """
         async with self._order_lock:
-            # Read under the lock: a holder's orders come after its line, so none of them can be
-            # undone by a line that was read before.
+            # The record is read under the lock. A lease holder sends orders only after writing its
+            # line, so an order can't be reverted because of a line that was read earlier.
             try:
-                await self._learn()
+                await self._read_record()
             except KvUnavailable:
-                # An engine that restarted empty serves nobody until the outage is over. The line
-                # that it had reached is the last word that was heard, and there is nothing to undo.
+                # An engine that restarted empty would serve nothing until the KV outage ends. The
+                # line it had reached is the latest known state, and there is nothing to revert.
                 if not await self._is_empty():
                     raise
             while (step := await self._difference()) is not None:
-                if not self._is_own_work(step):
+                if not self._may_correct(step):
                     return None
-                if step.action in _LOADS and step != paid:
+                if step.action in _LOADS and step != booked:
                     return step
-                await self._give(self.highest_fence, step)
+                await self._send_order(self.highest_fence, step)
                 CORRECTIONS.add(1, {"action": step.action})
                 subject = step.adapter or step.role or f"{step.model}@{step.version}"
                 self.kernel.events.emit(
                     PlacementCorrected(self.highest_fence, step.action, subject)
                 )
-                paid = None
+                booked = None
             return None
 
     async def _is_empty(self) -> bool:
         return not self._allowed(await self._describe())
 
-    def _is_own_work(self, step: Step) -> bool:
-        """Return whether a correction is this sidecar's to do, not the holder's.
+    def _may_correct(self, step: Step) -> bool:
+        """Return whether this sidecar, not the lease holder, may make a correction.
 
-        Loads towards a line that the engine has not yet come to are spread by the holder, and an
-        unload that takes a model away altogether needs a count of the ready replicas.
+        Loads for a line that the engine has not reached yet are scheduled by the holder. Unloading
+        a model without a replacement requires knowing the number of ready replicas.
         """
         if step.action in _LOADS:
             return self._line == self._reached and self._weight_store is not None
@@ -339,7 +342,7 @@
         await trio.sleep(wait_s)
 
     async def _difference(self) -> Step | None:
-        """Return the next step towards the line; ``None`` when there is no line or none is due."""
+        """Return the next step towards the line; ``None`` without a line or when it is reached."""
         line = self._line
         if line is None:
             return None
@@ -351,7 +354,7 @@
 
 
 def _is_done(order: PlacementOrder, info: EngineInfo) -> bool:
-    """Return whether an order has nothing left to do, such as a repeat after a lost answer."""
+    """Return whether an order is already fulfilled, such as a repeat after a lost reply."""
     if order.action == PlacementAction.SET_ROLE:
         return info.role == order.role
     model = f"{order.model}@{order.version}" if order.version else order.model
--- a/packages/sidecar/src/sassafrastally/sidecar/plain.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/plain.py
@@ -1,4 +1,4 @@
-"""Plain services: the same promises as for engines, with a bound on calls at a time."""
+"""Plain services: the same guarantees as for engines, with a limit on concurrent calls."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     from sassafrastally.sidecar.attempts import Attempt, AttemptTable
     from sassafrastally.wire.messages import Reserve
 
-FIRST_CALL_S = 0.05
-"""Expected duration of a call before any was seen."""
+INITIAL_CALL_S = 0.05
+"""Expected duration of a call before any was measured."""
 
-BODY_TYPE = "application/json"
-"""Type under which bodies are sent; a reservation carries none."""
+BODY_CONTENT_TYPE = "application/json"
+"""Content type of request bodies; a reservation doesn't carry one."""
 
-SMOOTHING = 0.2
-"""Weight of the newest call in the learned duration."""
+CALL_DURATION_WEIGHT = 0.2
+"""Weight of the latest call in the moving average of the duration."""
 
 
-class CallAnswer(Protocol):
-    """An answer whose head has come; iterate over its body."""
+class ServiceResponse(Protocol):
+    """A response whose head was received; iterate over its body."""
 
     @property
     def status(self) -> int:
@@ -55,19 +55,19 @@
 
 
 class Caller(Protocol):
-    """Calls one plain service; `sassafrastally.sidecar.plain_client.PlainClient` does."""
+    """Client of one plain service, such as `sassafrastally.sidecar.plain_client.PlainClient`."""
 
     def call(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes, timeout_s: float
-    ) -> AbstractAsyncContextManager[CallAnswer]:
-        """Call the service once, never again by itself.
+    ) -> AbstractAsyncContextManager[ServiceResponse]:
+        """Call the service once, without retries.
 
         Raises
         ------
         PlainNotSent
-            It certainly did not run.
+            The call certainly did not run.
         PlainMaybeRan
-            It may have run.
+            The call may have run.
         """
         ...
 
@@ -82,13 +82,13 @@
     name
         Name of the service.
     client
-        Calls it.
+        Client of the service.
     max_concurrent
-        Returns the most calls at a time, which the bundle may change.
+        Returns the limit on concurrent calls, which the bundle may change.
     table
         All attempts.
     answers
-        Where answers grow.
+        Store for the answers of attempts.
     """
 
     def __init__(
@@ -108,11 +108,11 @@
         self._answers = answers
         self._waiting: deque[tuple[Attempt, trio.Event]] = deque()
         self._running: set[Attempt] = set()
-        self._call_s = FIRST_CALL_S
+        self._expected_call_s = INITIAL_CALL_S
 
     @property
     def running_count(self) -> int:
-        """Calls under way."""
+        """Number of calls in flight."""
         return len(self._running)
 
     def admit(self, reserve: Reserve, now_s: float) -> Admitted:
@@ -121,19 +121,23 @@
             1 for a in self._table.live if a.reserve.service == self.name and not a.has_started
         )
         rounds = (ahead + self.running_count) // max(1, self._max_concurrent())
-        total_s = (rounds + 1) * self._call_s
+        total_s = (rounds + 1) * self._expected_call_s
         if total_s > reserve.time_limit_s:
-            retry_after_s = 0.0 if self._call_s > reserve.time_limit_s else rounds * self._call_s
+            retry_after_s = (
+                0.0
+                if self._expected_call_s > reserve.time_limit_s
+                else rounds * self._expected_call_s
+            )
             figures = Figures(reserve.time_limit_s, total_s, retry_after_s)
             raise Refusal("time-limit-unreachable", figures)
         return Admitted(Prediction(total_s, total_s), 0)
 
     def register(self, attempt: Attempt, admitted: Admitted) -> None:
-        """Note nothing further: the table already counts the attempt."""
+        """Do nothing: the table already counts the attempt."""
 
     async def run(self, attempt: Attempt) -> RunResult:
-        """Wait for a free place and call the service once."""
-        await self._turn(attempt)
+        """Wait for a free slot and call the service once."""
+        await self._wait_turn(attempt)
         started_s = self._kernel.clock.now_s()
         self._kernel.events.emit(AttemptStarted(*attempt.key, started_s - attempt.arrived_s))
         attempt.has_started = True
@@ -145,19 +149,19 @@
         except PlainMaybeRan as cause:
             raise EngineFailed(cause.detail) from cause
         elapsed_s = self._kernel.clock.now_s() - started_s
-        self._call_s += SMOOTHING * (elapsed_s - self._call_s)
+        self._expected_call_s += CALL_DURATION_WEIGHT * (elapsed_s - self._expected_call_s)
         return result
 
     async def release(self, attempt: Attempt) -> None:
-        """Give the place to the next call."""
+        """Free the slot for the next call."""
         self._running.discard(attempt)
-        self._hand_out()
+        self._start_waiting()
         await trio.lowlevel.checkpoint()
 
     async def _call(self, attempt: Attempt, timeout_s: float) -> RunResult:
         method, _, path = attempt.reserve.operation.partition(" ")
         body = attempt.take_body()
-        headers = {"Content-Type": BODY_TYPE} if body else {}
+        headers = {"Content-Type": BODY_CONTENT_TYPE} if body else {}
         async with self._client.call(method, path, headers, body, timeout_s) as answer:
             self._table.release_body(attempt)
             async for piece in answer:
@@ -167,21 +171,22 @@
                 raise EngineFailed("the service ended its answer before the end")
             return RunResult(answer.status, answer.content_type)
 
-    async def _turn(self, attempt: Attempt) -> None:
+    async def _wait_turn(self, attempt: Attempt) -> None:
         entry = (attempt, trio.Event())
         self._waiting.append(entry)
-        self._hand_out()
+        self._start_waiting()
         try:
             await entry[1].wait()
         finally:
             if entry in self._waiting:
                 self._waiting.remove(entry)
 
-    def _hand_out(self) -> None:
+    def _start_waiting(self) -> None:
         now_s = self._kernel.clock.now_s()
         while self._waiting and len(self._running) < max(1, self._max_concurrent()):
             attempt, turn = self._waiting.popleft()
-            # After a freeze this may run before the time limit has cancelled the waiting task.
+            # After a freeze of the process this may run before the time limit has cancelled the
+            # waiting task; an expired attempt must not start.
             if attempt.deadline_s > now_s:
                 self._running.add(attempt)
                 turn.set()
--- a/packages/sidecar/src/sassafrastally/sidecar/plain_client.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/plain_client.py
@@ -1,4 +1,4 @@
-"""Client of a plain service: one HTTP call that tells what is known when it fails."""
+"""HTTP client of a plain service whose errors tell whether a failed call may have run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 CONNECT_LIMIT_S = 2.0
 
 CLOSE_LIMIT_S = 1.0
-"""Bound of closing a call's connection on the way out."""
+"""Timeout for closing the connection of a call."""
 
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
@@ -27,22 +27,22 @@
 
 @error(7041)
 class PlainNotSent(CodedError):
-    """The plain service can't be reached: the call certainly did not run."""
+    """The plain service is unreachable; the call certainly did not run."""
 
 
 @error(7042)
 class PlainMaybeRan(CodedError):
-    """The connection broke after the call was sent: it may have run."""
+    """The connection failed after the call was sent, so the call may have run."""
 
 
 class PlainAnswer:
-    """An answer whose head has come; iterate over its body."""
+    """A response whose head was received; iterate over its body."""
 
     def __init__(self, response: httpx.Response, deadline_s: float) -> None:
         self.status: int = response.status_code
         self.content_type: str = response.headers.get("content-type", DEFAULT_CONTENT_TYPE)
         self.is_complete = False
-        """Whether the whole body has been read, as its framing says."""
+        """Whether the whole body was read, according to its framing."""
         self._pieces = response.aiter_raw()
         self._deadline_s = deadline_s
 
@@ -55,7 +55,7 @@
         Raises
         ------
         PlainMaybeRan
-            When the body breaks off or times out.
+            When the body is interrupted or times out.
         """
         try:
             with trio.fail_at(self._deadline_s):
@@ -77,8 +77,8 @@
     """
 
     def __init__(self, address: Address) -> None:
-        # A connection that the service closes while idle would turn a call into "may have run";
-        # a new connection for each call keeps that answer to real failures.
+        # If a reused connection is closed by the service while idle, the call fails as "may have
+        # run". Using a new connection for each call limits that error to real failures.
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=0)
         self._client = httpx.AsyncClient(
             base_url=f"http://{address}", limits=limits, trust_env=False, follow_redirects=False
@@ -92,24 +92,24 @@
     async def call(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes, timeout_s: float
     ) -> AsyncIterator[PlainAnswer]:
-        """Make a call; leaving the context closes its connection.
+        """Call the service; leaving the context closes the connection.
 
         Parameters
         ----------
         method, path, headers, body
-            The call; the body has no encoding of its own.
+            The request; the body has no content encoding.
         timeout_s
-            Bound of the whole call, reading of the body included.
+            Timeout of the whole call, including reading the body.
 
         Raises
         ------
         PlainNotSent
-            When it certainly did not run.
+            When the call certainly did not run.
         PlainMaybeRan
-            When it may have run: the connection broke, or the time was over.
+            When the call may have run: the connection failed or the call timed out.
         """
         deadline_s = trio.current_time() + timeout_s
-        # The connect limit ends before the whole call's, so that "not sent" can still be told.
+        # The connect timeout ends before the call's, so that "not sent" can still be reported.
         timeout = httpx.Timeout(None, connect=min(CONNECT_LIMIT_S, timeout_s / 2))
         sent = {**headers, "Accept-Encoding": "identity"}
         built = self._client.build_request(
--- a/packages/sidecar/src/sassafrastally/sidecar/queue.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/queue.py
@@ -1,4 +1,4 @@
-"""Waiting work, handed to the engine one by one as the scheduler picks it."""
+"""Queue of waiting work, started on the engine in the order that the scheduler picks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from sassafrastally.serving.scheduling import EngineState, Running
 from sassafrastally.sidecar.attempt_key import AttemptKey
-from sassafrastally.sidecar.segments import beside_promises
+from sassafrastally.sidecar.segments import backfill_candidates
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,18 +26,18 @@
 
 
 class WorkQueue:
-    """Work of one engine, waiting and running.
+    """Waiting and running work of one engine.
 
     Parameters
     ----------
     scheduler
-        Decides what goes next.
+        Picks the work to start next.
     ledger
-        The engine's memory; blocks are held from the hand-over on, not while work waits.
+        The engine's memory; blocks are held from the start of a run, not while work waits.
     clock
         The process's clock.
     interval_s
-        How often waiting work is looked at when nothing changes.
+        Interval at which waiting work is reconsidered when nothing changes.
     """
 
     def __init__(
@@ -51,22 +51,22 @@
         self._running: dict[AttemptKey, Running] = {}
         self._changed = trio.Event()
         self.is_open: Callable[[], bool] = lambda: True
-        """Whether the engine can take work at all."""
+        """Returns whether the engine accepts work at all."""
         self.promises: Callable[[], list[Promise]] = list
-        """Memory that is kept for segments of spans."""
+        """Returns the memory reserved for segments of spans."""
 
     @property
     def waiting(self) -> list[Work]:
-        """Work that waits for its turn."""
+        """Work that is waiting for its turn."""
         return [waiter.work for waiter in self._waiting.values()]
 
     @property
     def running_count(self) -> int:
-        """How many runs are on the engine."""
+        """Number of runs on the engine."""
         return len(self._running)
 
     def state(self) -> EngineState:
-        """Return what the scheduler needs to know of the engine."""
+        """Return the engine state that the scheduler needs."""
         return EngineState(
             self._clock.now_s(),
             self._ledger.block_tokens,
@@ -75,19 +75,19 @@
             tuple(self._running.values()),
         )
 
-    async def turn(self, work: Work, stream_id: str) -> None:
-        """Wait until the work has its turn; its blocks are then held under the stream id."""
+    async def wait_turn(self, work: Work, stream_id: str) -> None:
+        """Wait until the work may start; its blocks are then held under the stream id."""
         key = AttemptKey(work.request_id, work.attempt)
         waiter = _Waiter(work, stream_id, trio.Event())
         self._waiting[key] = waiter
-        self.notice_change()
+        self.notify_change()
         try:
             await waiter.turn.wait()
         finally:
             self._waiting.pop(key, None)
 
-    def note_tokens(self, key: AttemptKey, tokens: int) -> None:
-        """Take in tokens that a run has shown."""
+    def record_tokens(self, key: AttemptKey, tokens: int) -> None:
+        """Record tokens that a run has generated."""
         running = self._running.get(key)
         if running is None:
             return
@@ -98,31 +98,31 @@
             first_token_s=first_token_s, shown_tokens=running.shown_tokens + tokens
         )
 
-    def leave(self, key: AttemptKey) -> None:
-        """Take a run off the list; its memory is the ledger's matter."""
+    def remove(self, key: AttemptKey) -> None:
+        """Remove a run from the running list; the ledger tracks its memory separately."""
         self._running.pop(key, None)
-        self.notice_change()
+        self.notify_change()
 
-    def notice_change(self) -> None:
-        """Look at the waiting work soon."""
+    def notify_change(self) -> None:
+        """Wake the dispatcher to reconsider the waiting work."""
         self._changed.set()
 
     async def dispatch(self) -> None:
-        """Hand out work for as long as the process runs."""
+        """Start waiting work until cancelled."""
         while True:
             self._changed = trio.Event()
-            self._hand_out()
+            self._start_ready()
             if self._waiting:
                 with trio.move_on_after(self._interval_s):
                     await self._changed.wait()
             else:
                 await self._changed.wait()
 
-    def _hand_out(self) -> None:
+    def _start_ready(self) -> None:
         while self._waiting and self.is_open():
             state = self.state()
-            # After a freeze of the process this may run before the time limits have cancelled
-            # their tasks: what is past its limit must not be started.
+            # After a freeze of the process this may run before the time limits have cancelled the
+            # waiting tasks; expired work must not be started.
             ready = [work for work in self.waiting if work.deadline_s > state.now_s]
             work = self._pick(ready, state) if ready else None
             if work is None or not self._start(work, state):
@@ -132,15 +132,15 @@
         promises = self.promises()
         if not promises:
             return self.scheduler.pick(ready, state)
-        due = {promise.key for promise in promises}
-        for segment in [work for work in ready if AttemptKey(*work[:2]) in due]:
-            # Its own promise stands for it; the others' memory is not its to take.
-            others = sum(p.blocks for p in promises if p.key != AttemptKey(*segment[:2]))
-            own = state._replace(free_blocks=max(0, state.free_blocks - others))
-            if self.scheduler.pick([segment], own) is not None:
+        promised_keys = {promise.key for promise in promises}
+        for segment in [work for work in ready if AttemptKey(*work[:2]) in promised_keys]:
+            # A segment may use the memory promised to it, but not that promised to others.
+            other_blocks = sum(p.blocks for p in promises if p.key != AttemptKey(*segment[:2]))
+            own_state = state._replace(free_blocks=max(0, state.free_blocks - other_blocks))
+            if self.scheduler.pick([segment], own_state) is not None:
                 return segment
-        rest = [work for work in ready if AttemptKey(*work[:2]) not in due]
-        rest = beside_promises(rest, state, promises, self.scheduler.cost)
+        rest = [work for work in ready if AttemptKey(*work[:2]) not in promised_keys]
+        rest = backfill_candidates(rest, state, promises, self.scheduler.cost)
         return self.scheduler.pick(rest, state) if rest else None
 
     def _start(self, work: Work, state: EngineState) -> bool:
--- a/packages/sidecar/src/sassafrastally/sidecar/runner.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/runner.py
@@ -1,4 +1,4 @@
-"""One task for each committed attempt: from its turn to its end mark and freed memory."""
+"""Runs each committed attempt in a task, up to its end mark and the release of its memory."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     kernel
         The process.
     settings
-        The limit for freeing.
+        Timeout for releasing memory.
     table
         All attempts.
     answers
-        Where answers grow.
+        Store for the answers of attempts.
     """
 
     def __init__(
@@ -51,10 +51,10 @@
         self._answers = answers
 
     async def run(self, attempt: Attempt, backend: Backend) -> None:
-        """Run an attempt to its end, its time limit or its cancellation, and free its memory.
+        """Run an attempt to completion, time limit or cancellation, and free its memory.
 
-        The end mark is there before the memory is freed: whoever waits for a passed time limit
-        must not wait for the engine as well.
+        The end mark is set before the memory is freed, so that a reader of an attempt that reached
+        its time limit doesn't also wait for the engine.
         """
         end: End | None = None
         attempt.scope.deadline = attempt.deadline_s
@@ -62,13 +62,13 @@
             with attempt.scope:
                 end = await self._run_to_end(attempt, backend)
         finally:
-            self.settle(attempt, end or self._cut_end(attempt))
+            self.settle(attempt, end or self._interrupted_end(attempt))
             limit_s = self._settings.cancel_limit_s
             with trio.CancelScope(shield=True, deadline=trio.current_time() + limit_s):
                 await backend.release(attempt)
 
     def settle(self, attempt: Attempt, end: End) -> None:
-        """Record how an attempt ended and let its readers see it."""
+        """Record how an attempt ended and publish the end mark to its readers."""
         now_s = self._kernel.clock.now_s()
         outcome = Outcome(end.outcome)
         self._table.settle(attempt, _STATES[outcome], now_s)
@@ -87,27 +87,27 @@
         try:
             return _completed(attempt, await backend.run(attempt))
         except EngineRefused as cause:
-            return end_of(attempt, Outcome.NOT_RUN, cause.refusal_code, cause.detail)
+            return make_end(attempt, Outcome.NOT_RUN, cause.refusal_code, cause.detail)
         except EngineUnavailable as cause:
-            return end_of(attempt, Outcome.NOT_RUN, "no-replica", cause.detail)
+            return make_end(attempt, Outcome.NOT_RUN, "no-replica", cause.detail)
         except Refusal as cause:
-            return end_of(attempt, cause.outcome, cause.kind.code, cause.figures.detail)
+            return make_end(attempt, cause.outcome, cause.kind.code, cause.figures.detail)
         except EngineFailed as cause:
             if attempt.answer.chunk_count or attempt.answer.size_bytes:
-                return end_of(attempt, Outcome.FAILED, "backend-failed", cause.detail)
-            # Nothing came back: whether the engine had begun can't be told.
-            return end_of(attempt, Outcome.UNKNOWN, "outcome-unknown", cause.detail)
+                return make_end(attempt, Outcome.FAILED, "backend-failed", cause.detail)
+            # Nothing was received, so it is unknown whether the engine had started.
+            return make_end(attempt, Outcome.UNKNOWN, "outcome-unknown", cause.detail)
 
-    def _cut_end(self, attempt: Attempt) -> End:
+    def _interrupted_end(self, attempt: Attempt) -> End:
         outcome = Outcome.FAILED if attempt.has_started else Outcome.NOT_RUN
-        if attempt.given_up is not None:
-            return end_of(attempt, outcome, *attempt.given_up)
+        if attempt.cancel_reason is not None:
+            return make_end(attempt, outcome, *attempt.cancel_reason)
         if self._kernel.clock.now_s() >= attempt.deadline_s:
-            return end_of(attempt, outcome, "time-limit-passed", _limit_detail(attempt))
-        return end_of(attempt, outcome, "backend-failed", "the sidecar was ended")
+            return make_end(attempt, outcome, "time-limit-passed", _limit_detail(attempt))
+        return make_end(attempt, outcome, "backend-failed", "the sidecar was ended")
 
 
-def end_of(attempt: Attempt, outcome: Outcome, code: str, detail: str) -> End:
+def make_end(attempt: Attempt, outcome: Outcome, code: str, detail: str) -> End:
     """Return the end mark of an attempt that didn't complete."""
     return End(*attempt.key, outcome=outcome.value, code=code, detail=detail)
 
--- a/packages/sidecar/src/sassafrastally/sidecar/segment.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/segment.py
@@ -1,4 +1,4 @@
-"""An attempt's part of a span."""
+"""Segments: the parts of a span that single attempts compute."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Import(NamedTuple):
-    """One KV export to fetch from another engine."""
+    """A KV export to fetch from another engine."""
 
     handle: str
     source: str
@@ -14,16 +14,16 @@
 
 
 class Segment(NamedTuple):
-    """An attempt's part of a span."""
+    """The part of a span that one attempt computes."""
 
     blocks: int
-    """Blocks for its own tokens, its imports and its answer."""
+    """Blocks for its own tokens, its imports and its output."""
     imports: tuple[Import, ...]
     is_leader: bool
-    """Whether it is the last one, which answers."""
+    """Whether it is the last segment, which generates the answer."""
     made_s: float
-    """When it was reserved."""
+    """Time of the reservation."""
     starts_at_s: float
-    """When the segments before it are expected to be done."""
+    """Expected time at which the preceding segments are done."""
     done_at_s: float
-    """When its own prefill is expected to be done."""
+    """Expected time at which its own prefill is done."""
--- a/packages/sidecar/src/sassafrastally/sidecar/segments.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/segments.py
@@ -1,4 +1,4 @@
-"""Segments of spans on this engine: what they are promised, import, export and hold."""
+"""Segments of spans on this engine: memory promises, KV imports and exports."""
 
 from __future__ import annotations
 
@@ -33,16 +33,17 @@
     from sassafrastally.sidecar.settings import SidecarSettings
     from sassafrastally.wire.messages import Reserve
 
-LAPSE_STRETCH = 3.0
-"""A segment's reservation stands for so many times the expected wait for the segments before it,
-beside the usual lapse: costs of engines are learned, and a first guess may be far off."""
+SEGMENT_LAPSE_FACTOR = 3.0
+"""Multiple of the expected wait for preceding segments by which a reservation's lapse is extended.
+
+Engine costs are learned, so early estimates of the wait may be far off."""
 
 MIN_RETRY_S = 0.5
-"""Least time after which to come back to an engine whose memory is promised."""
+"""Minimum retry-after time for an engine whose memory is promised."""
 
 
 class Promise(NamedTuple):
-    """Blocks that are kept for a segment which doesn't hold them yet."""
+    """Blocks reserved for a segment that doesn't hold them yet."""
 
     key: AttemptKey
     blocks: int
@@ -51,12 +52,12 @@
 
 
 def own_tokens(reserve: Reserve) -> int:
-    """Return the tokens of a prompt that this engine has to hold itself."""
+    """Return the number of prompt tokens that this engine computes itself."""
     return reserve.segment_tokens or reserve.prompt_tokens
 
 
 def imports_of(reserve: Reserve) -> tuple[Import, ...]:
-    """Return what a segment imports; raises `Refusal` when the lists don't match."""
+    """Return the imports of a segment; raises `Refusal` when the lists differ in length."""
     lengths = {
         len(reserve.import_handles),
         len(reserve.import_sources),
@@ -69,7 +70,9 @@
 
 
 class Promises:
-    """Memory promised to segments, read off the live attempts, so that none outlives its owner.
+    """Memory promised to segments.
+
+    Promises are derived from the live attempts, so that none outlives its owner.
 
     Parameters
     ----------
@@ -92,74 +95,78 @@
         ]
 
     def spans(self) -> list[Segment]:
-        """Return the segments here, those that hold their memory included."""
+        """Return all segments on this engine, including those that already hold their memory."""
         return [a.segment for a in self._table.live if a.segment is not None]
 
     def check_room(self, blocks: int, now_s: float) -> None:
-        """Refuse a segment that the memory for spans has no room for.
+        """Refuse a segment that doesn't fit in the memory available to spans.
 
-        The sum over all spans stays within the engine's memory. A segment therefore only ever
-        waits for other work, which ends by itself, and never for another span: no two spans can
-        wait for each other.
+        The total over all spans stays within the engine's memory. A segment therefore waits only
+        for other work, which ends on its own, and never for another span, so spans can't deadlock.
         """
-        most = span_blocks(self._ledger.total_blocks)
-        here = self.spans()
-        taken = sum(segment.blocks for segment in here)
-        if blocks > most:
-            raise Refusal("no-span", _tokens(most, blocks, self._ledger.block_tokens))
-        if taken + blocks > most:
-            soonest_s = min(segment.done_at_s for segment in here) - now_s
+        capacity_blocks = span_blocks(self._ledger.total_blocks)
+        segments = self.spans()
+        used_blocks = sum(segment.blocks for segment in segments)
+        if blocks > capacity_blocks:
+            raise Refusal(
+                "no-span", _token_figures(capacity_blocks, blocks, self._ledger.block_tokens)
+            )
+        if used_blocks + blocks > capacity_blocks:
+            soonest_s = min(segment.done_at_s for segment in segments) - now_s
             detail = "promised to other spans"
             raise Refusal(
                 "memory-full",
-                Figures(most, taken + blocks, max(MIN_RETRY_S, soonest_s), detail),
+                Figures(capacity_blocks, used_blocks + blocks, max(MIN_RETRY_S, soonest_s), detail),
             )
 
-    def check_beside(self, work: Work, ends_in_s: float, now_s: float) -> None:
-        """Refuse work that would need memory which a segment is promised or holds.
+    def check_backfill(self, work: Work, ends_in_s: float, now_s: float) -> None:
+        """Refuse work that needs memory promised to or held by segments.
 
-        Work that ends before the segment is expected to start may have the memory until then.
+        Work that ends before the first segment is expected to start may use its memory until then
+        (backfill), unless a segment already holds its memory.
         """
-        here = self.spans()
-        if not here:
+        segments = self.spans()
+        if not segments:
             return
         need = blocks_needed(work, self._ledger.block_tokens)
-        beside = self._ledger.total_blocks - sum(segment.blocks for segment in here)
-        if need <= beside:
+        available_blocks = self._ledger.total_blocks - sum(segment.blocks for segment in segments)
+        if need <= available_blocks:
             return
         promises = self.open()
-        if len(promises) == len(here):
-            opens_s = min(promise.starts_at_s for promise in promises) - now_s
-            if ends_in_s <= opens_s:
+        if len(promises) == len(segments):
+            start_s = min(promise.starts_at_s for promise in promises) - now_s
+            if ends_in_s <= start_s:
                 return
-        retry_s = max(MIN_RETRY_S, min(segment.done_at_s for segment in here) - now_s)
-        raise Refusal("memory-full", Figures(beside, need, retry_s, "a span has the rest"))
+        retry_s = max(MIN_RETRY_S, min(segment.done_at_s for segment in segments) - now_s)
+        raise Refusal(
+            "memory-full", Figures(available_blocks, need, retry_s, "a span has the rest")
+        )
 
 
-def beside_promises(
+def backfill_candidates(
     ready: Sequence[Work], state: EngineState, promises: Iterable[Promise], cost: CostModel
 ) -> list[Work]:
-    """Return the work that may start without taking memory from a segment when it is due.
+    """Return the work that may start without delaying a segment that is due.
 
-    That is work which fits beside the promises, work which ends before the segments start
-    (backfill), and work that was admitted before the promise was made: the segment's prediction
-    counts it, and it is bound to its own time limit. What doesn't fit at all stays in the list, so
-    that the scheduler can keep room free for it.
+    This is work that fits beside the promised memory, work that ends before the segments start
+    (backfill), and work admitted before the promise was made, which the segment's prediction
+    includes and whose duration is bounded by its time limit. Work that doesn't fit in the free
+    memory at all stays in the list, so that the scheduler can keep memory free for it.
     """
-    kept = list(promises)
+    open_promises = list(promises)
     token_s = cost.token_s(len(state.running) + 1)
     allowed = []
     for work in ready:
         binding = [
             promise
-            for promise in kept
+            for promise in open_promises
             if promise.made_s <= work.arrived_s and promise.key != _key(work)
         ]
         need = blocks_needed(work, state.block_tokens)
         fits = need <= state.free_blocks - sum(promise.blocks for promise in binding)
-        opens_s = min((promise.starts_at_s for promise in binding), default=float("inf"))
+        start_s = min((promise.starts_at_s for promise in binding), default=float("inf"))
         ends_s = state.now_s + service_s(work, cost) + work.output_tokens * token_s
-        if fits or need > state.free_blocks or ends_s <= opens_s:
+        if fits or need > state.free_blocks or ends_s <= start_s:
             allowed.append(work)
     return allowed
 
@@ -172,12 +179,12 @@
     kernel
         The process.
     settings
-        Limits.
+        Timeouts.
     engine
         Client of the engine.
     ledger
-        Its memory; it owns each handle before the engine does, so that a sweep in between doesn't
-        take it for an orphan.
+        Ledger of the engine's memory. Each handle is recorded here before it exists on the engine,
+        so that a concurrent sweep doesn't take it for an orphan.
     """
 
     def __init__(
@@ -191,7 +198,7 @@
     def describe(
         self, reserve: Reserve, now_s: float, prefill_s: float, done_in_s: float
     ) -> Segment | None:
-        """Return what a reservation is of a span; ``None`` when it is of none."""
+        """Return the segment of a reservation; ``None`` when it doesn't belong to a span."""
         if not reserve.segment_tokens:
             return None
         imports = imports_of(reserve)
@@ -205,40 +212,40 @@
         )
 
     def blocks(self, reserve: Reserve) -> int:
-        """Return all blocks that a segment takes on this engine."""
+        """Return the number of blocks that a segment takes on this engine."""
         size = self._ledger.block_tokens
         own = self._ledger.blocks_for(reserve.segment_tokens + reserve.max_output_tokens)
         return own + sum(import_blocks(blocks_of(n, size)) for n in reserve.import_tokens)
 
     async def fetch(self, attempt: Attempt) -> None:
-        """Import the segments before this one, all at once.
+        """Import the preceding segments concurrently.
 
         Raises
         ------
         EngineUnavailable, EngineRefused, EngineFailed
-            When one didn't come; nothing ran.
+            When an import failed; nothing ran.
         """
         assert attempt.segment is not None
         failures: list[EngineUnavailable | EngineRefused | EngineFailed] = []
 
-        async def fetch_one(wanted: Import) -> None:
-            blocks = blocks_of(wanted.tokens, self._ledger.block_tokens)
-            # The blocks are counted in the hold of the run.
-            self._ledger.hold(wanted.handle, 0, self._kernel.clock.now_s())
+        async def fetch_one(kv_import: Import) -> None:
+            blocks = blocks_of(kv_import.tokens, self._ledger.block_tokens)
+            # The blocks are already included in the hold of the run.
+            self._ledger.hold(kv_import.handle, 0, self._kernel.clock.now_s())
             try:
-                await self._engine.import_kv(wanted.handle, _address(wanted.source), blocks)
+                await self._engine.import_kv(kv_import.handle, _address(kv_import.source), blocks)
             except (EngineUnavailable, EngineRefused, EngineFailed) as cause:
                 failures.append(cause)
                 nursery.cancel_scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for wanted in attempt.segment.imports:
-                nursery.start_soon(fetch_one, wanted)
+            for kv_import in attempt.segment.imports:
+                nursery.start_soon(fetch_one, kv_import)
         if failures:
             raise EngineRefused(f"import: {failures[0].detail}") from failures[0]
 
     async def export(self, attempt: Attempt) -> bytes:
-        """Keep the finished prefill under the attempt's handle; return the announcement."""
+        """Export the finished prefill under the attempt's handle; return its announcement."""
         handle, now_s = handle_of(*attempt.key), self._kernel.clock.now_s
         self._ledger.hold_export(handle, 0, now_s(), float("inf"))
         blocks = await self._engine.export_kv(attempt.stream_id, handle)
@@ -249,20 +256,20 @@
         return encode_done(SegmentDone(handle, tokens, blocks))
 
     async def free_imports(self, attempt: Attempt) -> None:
-        """Free what the attempt imported."""
+        """Free the attempt's imports."""
         for name in _import_handles(attempt):
             await self._free(name)
 
     async def free_all(self, attempt: Attempt) -> None:
-        """Free imports and export of an attempt."""
+        """Free the attempt's imports and export."""
         await self.free_imports(attempt)
         await self._free(handle_of(*attempt.key))
 
     async def _free(self, handle: str) -> None:
         if not self._ledger.holds(handle):
             return
-        # Until the engine confirms it, the sweep goes on trying.
-        self._ledger.disown(handle, self._kernel.clock.now_s())
+        # The sweep retries until the engine confirms that the memory is free.
+        self._ledger.mark_orphaned(handle, self._kernel.clock.now_s())
         with trio.move_on_after(self._settings.cancel_limit_s):
             try:
                 await self._engine.free_export(handle)
@@ -272,15 +279,15 @@
             self._ledger.free(handle)
 
 
-def holds_of(attempt: Attempt) -> set[str]:
-    """Return the names under which an attempt may hold memory."""
+def hold_names(attempt: Attempt) -> set[str]:
+    """Return the stream id and handles under which an attempt may hold memory."""
     if attempt.segment is None:
         return {attempt.stream_id}
     return {attempt.stream_id, handle_of(*attempt.key), *_import_handles(attempt)}
 
 
 def _import_handles(attempt: Attempt) -> list[str]:
-    return [wanted.handle for wanted in attempt.segment.imports] if attempt.segment else []
+    return [kv_import.handle for kv_import in attempt.segment.imports] if attempt.segment else []
 
 
 def _address(text: str) -> Address:
@@ -295,5 +302,5 @@
     return AttemptKey(work.request_id, work.attempt)
 
 
-def _tokens(limit_blocks: int, measured_blocks: int, block_tokens: int) -> Figures:
+def _token_figures(limit_blocks: int, measured_blocks: int, block_tokens: int) -> Figures:
     return Figures(limit_blocks * block_tokens, measured_blocks * block_tokens)
--- a/packages/sidecar/src/sassafrastally/sidecar/service.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/service.py
@@ -1,4 +1,4 @@
-"""The sidecar's service: puts its parts together, runs and stops them."""
+"""The sidecar service: assembles, runs and stops the sidecar's components."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from sassafrastally.serving.scheduling import SCHEDULERS, Work
 from sassafrastally.sidecar.admission import Admission
 from sassafrastally.sidecar.answer import AnswerStore
-from sassafrastally.sidecar.attempts import AttemptTable, GivenUp
-from sassafrastally.sidecar.conversation import Conversations
+from sassafrastally.sidecar.attempts import AttemptTable, CancelReason
+from sassafrastally.sidecar.conversation import AttemptStreams
 from sassafrastally.sidecar.engine_backend import EngineBackend
 from sassafrastally.sidecar.engine_watch import EngineWatch
 from sassafrastally.sidecar.events import StopCutWork
@@ -38,12 +38,12 @@
     from sassafrastally.wire.link import Peers
 
 _SCHEDULER_MODULES = (lanes, naive)
-"""Imported so that their schedulers are registered."""
+"""Imported for the side effect of registering their schedulers."""
 
 PROBE_OUTPUT_TOKENS = 1
 
-STOP_LOOK_S = 0.05
-"""How often a stopping process looks whether its work is done."""
+IDLE_POLL_INTERVAL_S = 0.05
+"""Interval at which a stopping process checks whether its work is done."""
 
 
 class SidecarService(Service):
@@ -54,9 +54,9 @@
     settings
         The sidecar's settings.
     engine
-        Client of the model engine; ``None`` when only plain services stand here.
+        Client of the model engine; ``None`` when this sidecar has only plain services.
     services
-        Clients of the plain services by name.
+        Clients of the plain services, by name.
     """
 
     name: ClassVar[str] = "sidecar"
@@ -80,7 +80,7 @@
         self._weights_generation = -1
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Look at the engine, free what an earlier life left there, and take streams."""
+        """Connect to the engine, free leftovers of an earlier incarnation and accept streams."""
         kernel = self.kernel
         self._bundle = cast("BundleSource", kernel.get("bundle", Service))
         peers = cast("Peers", kernel.get("peers", Service))
@@ -90,16 +90,16 @@
         )
         runner = Runner(kernel, self._settings, self.table, self.answers)
         self.reports = Reports(self._settings, peers, self.load_report, self.load)
-        self.leaving.on_begin = self.reports.hurry
+        self.leaving.on_begin = self.reports.request_report
         if self._engine is not None:
             await self._start_engine(self._engine, nursery)
         self.admission.services = {
             name: self._plain_backend(name, client) for name, client in self._clients.items()
         }
-        self.conversations = Conversations(
+        self.attempt_streams = AttemptStreams(
             kernel, self._settings, self.admission, self.table, self.answers, runner, nursery
         )
-        self.conversations.register(peers)
+        self.attempt_streams.register(peers)
         peers.on_link(self.reports.on_link)
         if kernel.has("membership"):
             membership = kernel.get("membership", MembershipService)
@@ -107,31 +107,31 @@
         nursery.start_soon(self.leaving.watch, "signal", kernel.stopping)
         nursery.start_soon(self.leaving.watch_bundle, self._bundle)
         nursery.start_soon(self.reports.run)
-        nursery.start_soon(self._keep_tidy)
+        nursery.start_soon(self._expire_periodically)
 
     async def stop(self) -> None:
-        """Finish what is reserved or runs, within the limits for stopping.
+        """Finish reserved and running attempts within the stop time limits.
 
-        Links stand until this returns, so commits of reservations that were made are still
-        honoured and answers still leave. What the limit cuts is cancelled on the engine and its
-        readers get an end mark.
+        Links stay open until this returns, so existing reservations can still be committed and
+        answers are still delivered. Attempts unfinished at the limit are cancelled on the engine
+        and their readers get an end mark.
         """
         self.leaving.begin("signal")
         await self.reports.send()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_idle, nursery.cancel_scope)
             nursery.start_soon(self._wait_limit, nursery.cancel_scope)
-        left = self.table.live
-        if not left:
+        unfinished = self.table.live
+        if not unfinished:
             return
-        self.kernel.events.emit(StopCutWork(len(left)))
-        for attempt in left:
-            attempt.give_up(GivenUp("backend-failed", "the backend server stopped"))
+        self.kernel.events.emit(StopCutWork(len(unfinished)))
+        for attempt in unfinished:
+            attempt.give_up(CancelReason("backend-failed", "the backend server stopped"))
         with trio.move_on_after(self._settings.cancel_limit_s) as scope:
             await self._wait_idle(scope)
 
     def load_report(self) -> LoadReport:
-        """Return the load of this moment with the predicted first token of each lane."""
+        """Return the current load with the predicted time to first token of each lane."""
         report = self.load()
         if self.queue is None or self._engine_backend is None:
             return report
@@ -144,7 +144,7 @@
         )
 
     def load(self) -> LoadReport:
-        """Return the load of this moment without predictions, which cost more than the rest."""
+        """Return the current load without predictions, which are the expensive part."""
         in_force = self._bundle.in_force
         report = LoadReport(
             services=tuple(self._clients),
@@ -194,11 +194,11 @@
 
     def _on_engine_change(self) -> None:
         assert self.queue is not None
-        self._adopt_weights()
-        self.queue.notice_change()
+        self._apply_weights()
+        self.queue.notify_change()
 
-    def _adopt_weights(self) -> None:
-        """Make the scheduler anew when the bundle's weights are others; what it learned stays."""
+    def _apply_weights(self) -> None:
+        """Recreate the scheduler for a new bundle generation, keeping the learned cost model."""
         in_force = self._bundle.in_force
         if in_force is None or in_force.generation == self._weights_generation:
             return
@@ -209,15 +209,15 @@
         self.queue.scheduler = scheduler
 
     def _plain_backend(self, name: str, client: Caller) -> PlainBackend:
-        own = {service.name: service.max_concurrent for service in self._settings.services}
+        own_limits = {service.name: service.max_concurrent for service in self._settings.services}
 
         def max_concurrent() -> int:
-            bounds = [own.get(name, 0), _bundle_bound(self._bundle.in_force, name)]
-            return min((bound for bound in bounds if bound > 0), default=1)
+            limits = [own_limits.get(name, 0), _bundle_max_concurrent(self._bundle.in_force, name)]
+            return min((limit for limit in limits if limit > 0), default=1)
 
         return PlainBackend(self.kernel, name, client, max_concurrent, self.table, self.answers)
 
-    async def _keep_tidy(self) -> None:
+    async def _expire_periodically(self) -> None:
         while True:
             await trio.sleep(self._settings.describe_interval_s)
             now_s = self.kernel.clock.now_s()
@@ -227,19 +227,19 @@
 
     async def _wait_idle(self, scope: trio.CancelScope) -> None:
         while not self._is_idle():
-            await trio.sleep(STOP_LOOK_S)
+            await trio.sleep(IDLE_POLL_INTERVAL_S)
         scope.cancel()
 
     def _is_idle(self) -> bool:
-        """Return whether nothing runs, and nobody reads or is about to fetch an answer.
+        """Return whether nothing runs and no answer is being read or waits to be fetched.
 
-        An answer whose link was cut lives only here: its entry gets a moment to attach again.
+        An answer whose link was cut exists only here, so its entry gets a grace period to reattach.
         """
         now_s = self.kernel.clock.now_s()
         self.table.expire(now_s)
         if self.table.live or self.answers.has_readers:
             return False
-        return not self.answers.awaits_reader(now_s - self._settings.reattach_grace_s)
+        return not self.answers.has_undelivered_since(now_s - self._settings.reattach_grace_s)
 
     async def _wait_limit(self, scope: trio.CancelScope) -> None:
         with trio.move_on_after(self._settings.stop_limit_s):
@@ -258,7 +258,7 @@
         return self.queue.scheduler.predict(probe, expected, self.queue.state()).first_token_s
 
 
-def _bundle_bound(in_force: BundleInForce | None, name: str) -> int:
+def _bundle_max_concurrent(in_force: BundleInForce | None, name: str) -> int:
     if in_force is None:
         return 0
     services = {service.name: service for service in in_force.bundle.services}
--- a/packages/sidecar/src/sassafrastally/sidecar/settings.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/settings.py
@@ -9,64 +9,64 @@
 
 
 class PlainServiceSettings(NamedTuple):
-    """A plain service beside this sidecar."""
+    """A plain service that this sidecar serves."""
 
     name: str
     """Name of the service in the bundle."""
     address: Address
     max_concurrent: int = 8
-    """Most calls at a time; the bundle may set a lower bound."""
+    """Maximum number of concurrent calls; the bundle may set a lower limit."""
 
 
 @section("sidecar", "sidecar")
 class SidecarSettings(NamedTuple):
-    """The backend server beside the sidecar and the bounds that the sidecar keeps."""
+    """The sidecar's backend server and the limits that the sidecar enforces."""
 
     engine_address: Address | None = None
-    """Where the model engine listens; none when only plain services stand here."""
+    """Address of the model engine; none when this sidecar has only plain services."""
     dialect: str = "openai"
     """Engine dialect, by its registered name."""
     scheduler: str = "lanes"
-    """Scheduler of the engine's work, by its registered name."""
+    """Scheduler for the engine's work, by its registered name."""
     models: tuple[str, ...] = ()
-    """Models that may be served here; none listed means all that the engine holds."""
+    """Models that may be served here; an empty list allows all models of the engine."""
     services: tuple[PlainServiceSettings, ...] = ()
-    """Plain services beside this sidecar."""
+    """Plain services that this sidecar serves."""
     reservation_lapse_s: float = 3.0
-    """A reservation not committed after this long lapses."""
+    """Time after which an uncommitted reservation lapses."""
     reattach_grace_s: float = 2.0
-    """An idempotent run that nobody reads any more is cancelled after this long."""
+    """Time after which an idempotent run without readers is cancelled."""
     cancel_limit_s: float = 5.0
-    """Longest wait for the engine to confirm a cancellation; the sweep tries again later."""
+    """Timeout for the engine to confirm a cancellation; the sweep retries later."""
     max_attempts: int = 512
-    """Most attempts that are reserved, waiting or running; at the bound: refused as overloaded."""
+    """Maximum number of reserved, waiting and running attempts; more are refused as overloaded."""
     max_body_bytes: int = 32_000_000
-    """Most bytes of request bodies held or promised; at the bound: refused as overloaded."""
+    """Maximum bytes of request bodies held or reserved; more are refused as overloaded."""
     max_marks: int = 20_000
-    """Most marks of settled attempts that must not run again; at the bound: refused as
-    overloaded."""
+    """Maximum number of marks of settled attempts that must not run again; when it is reached, new
+    attempts are refused as overloaded."""
     mark_age_s: float = 1_200.0
-    """How long a mark is kept; longer than the longest time limit and the death of a link."""
+    """How long a mark is kept; longer than the maximum time limit and dead link detection."""
     max_ran_marks: int = 2_000
-    """Most marks of idempotent attempts that ran; at the bound the oldest leaves."""
+    """Maximum number of marks of idempotent attempts that ran; beyond it, the oldest is evicted."""
     max_answer_bytes: int = 24_000_000
-    """Most bytes of answers held; at the bound the oldest finished one leaves first."""
+    """Maximum bytes of answers held; beyond it, the oldest finished answer is evicted first."""
     answer_age_s: float = 600.0
     """How long a finished answer is kept."""
     max_unsent_bytes: int = 1_000_000
-    """Most bytes of one answer that its reader has not taken; at the bound the run waits."""
+    """Maximum unsent bytes of one answer; beyond it, the run waits for its reader."""
     dispatch_interval_s: float = 0.05
-    """How often waiting work is looked at when nothing else happens."""
+    """Interval at which waiting work is reconsidered when nothing changes."""
     describe_interval_s: float = 1.0
-    """How often the engine is asked what it is and holds."""
+    """Interval at which the engine's description is polled."""
     sweep_interval_s: float = 5.0
-    """How often the ledger is compared with the engine's own list."""
+    """Interval at which the ledger is compared with the engine's own list."""
     report_interval_s: float = 2.0
-    """How often the load is reported to linked entries."""
+    """Interval at which the load is reported to linked entries."""
     report_gap_s: float = 0.25
-    """Least time between two reports."""
+    """Minimum time between two reports."""
     stop_limit_s: float = 960.0
-    """Longest wait for running work after the first request to stop; no shorter than the longest
-    time limit of a request, so that none is cut off."""
+    """Maximum wait for running work after the first stop signal; at least the maximum time limit of
+    a request, so that no request is cut off."""
     hurried_stop_limit_s: float = 10.0
-    """Longest wait for running work after the second request to stop."""
+    """Maximum wait for running work after the second stop signal."""
--- a/packages/sidecar/tests/conftest.py
+++ b/packages/sidecar/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A sidecar beside a model engine, and an entry under the test's control, in memory."""
+"""Fixtures: an in-memory sidecar with a model engine, and an entry controlled by the test."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 PORT = Address("10.0.0.1", 7300)
 
 
-class DeafEngine(FakeEngine):
-    """An engine that doesn't notice closed connections: only `cancel` frees a run's memory."""
+class DisconnectIgnoringEngine(FakeEngine):
+    """An engine that ignores closed connections, so that only `cancel` frees a run's memory."""
 
     @asynccontextmanager
     async def generate(self, request):
@@ -49,20 +49,20 @@
 
 
 class Rig:
-    """One sidecar after the other on the same VM, and one entry."""
+    """An entry and a sidecar that can be killed and restarted on the same VM."""
 
     def __init__(self, nursery, shape=None):
         self.nursery = nursery
         self.network = MemoryNetwork(latency_s=0.001)
         self.model = EngineModel(shape or EngineShape(event_gap_share=0.0))
-        self.engine = DeafEngine(self.model)
+        self.engine = DisconnectIgnoringEngine(self.model)
         state = VmState(SIDECAR, "sidecar", "sala-prado", "uy-sur", PORT)
         self.vm_list = VmListModel([state])
         self.state = state
         self.entry = PeerService(
             PeerSettings(Address("10.0.0.9", 0), SECRET), self.network.host("entry-1"), "entry"
         )
-        self.lives = 0
+        self.starts = 0
         self.bodies = {}
 
     async def start(self, **changes):
@@ -73,8 +73,8 @@
         await self.restart(**changes)
 
     async def restart(self, callers=(), **changes):
-        """Start a sidecar on the same address."""
-        self.lives += 1
+        """Start a new incarnation of the sidecar on the same address."""
+        self.starts += 1
         own = SidecarSettings(scheduler="naive")._replace(**changes)
         sections = {
             "process": ProcessSettings(SIDECAR, "sala-prado", "uy-sur"),
@@ -92,27 +92,27 @@
                 PlatformService(kv, FakeVmList(self.vm_list)),
                 self.network.host(SIDECAR),
                 Clock(epoch_s=1e9),
-                seed=self.lives,
+                seed=self.starts,
             ),
             self.engine,
             dict(callers),
         )
         self.service = self.kernel.get("sidecar", SidecarService)
-        self.life = trio.CancelScope()
-        await self.nursery.start(self._live)
+        self.run_scope = trio.CancelScope()
+        await self.nursery.start(self._run_sidecar)
 
-    async def _live(self, task_status):
-        with self.life:
+    async def _run_sidecar(self, task_status):
+        with self.run_scope:
             await self.kernel.run(task_status=task_status)
 
     async def kill(self):
-        """End the sidecar without a word to the engine or the entry."""
+        """Kill the sidecar without notifying the engine or the entry."""
         self.engine.faults.unsent = 1_000_000
-        self.life.cancel()
+        self.run_scope.cancel()
         self.network.cut("entry-1", SIDECAR)
         self.network._listeners.pop(PORT)
         await trio.sleep(1)
-        self.engine = DeafEngine(self.model)
+        self.engine = DisconnectIgnoringEngine(self.model)
 
     def cut(self):
         self.network.cut("entry-1", SIDECAR)
@@ -158,7 +158,7 @@
         await self.commit(stream, reserve)
 
     async def answer(self, stream):
-        """Read to the end mark and check that all chunks came in order."""
+        """Read up to the end mark and return the chunks, the end mark and the token count."""
         chunks = []
         while isinstance(message := await stream.receive(), Chunk):
             chunks.append(message)
@@ -172,15 +172,15 @@
 
     async def query(self, reserve, void=False, incarnation=None):
         async with self.stream() as stream:
-            life = incarnation or self.kernel.incarnation
-            await stream.send(Query(*reserve[:2], life, void))
+            addressee = incarnation or self.kernel.incarnation
+            await stream.send(Query(*reserve[:2], addressee, void))
             return (await stream.receive()).state
 
     def executions(self, number):
         return self.model.started[str(number)]
 
     def check_memory(self):
-        """Everything is free, by the ledger and by the engine's own count."""
+        """Check that all memory is free, according to the ledger and to the engine."""
         assert self.model.memory.free_blocks == self.model.shape.total_blocks
         assert self.service.ledger.held == {}
         assert self.service.ledger.free_blocks == self.model.shape.total_blocks
--- a/packages/sidecar/tests/test_attempts.py
+++ b/packages/sidecar/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts and its bounds."""
+"""The table of attempts and its limits."""
 
 from __future__ import annotations
 
@@ -23,39 +23,40 @@
     return attempt
 
 
-class TestBounds:
+class TestLimits:
     async def test_live_attempts(self):
         table = AttemptTable(SMALL)
         for number in range(3):
-            assert not table.bound_reached(0.0)
+            assert not table.limit_reached(0.0)
             add(table, number)
-        assert table.bound_reached(0.0)
-        assert not table.bound_reached(3.0)  # The reservations have lapsed.
+        assert table.limit_reached(0.0)
+        assert not table.limit_reached(3.0)  # The reservations have lapsed.
 
-    async def test_young_marks_are_never_let_go(self):
-        """Marks of voided attempts fill the table. Letting the oldest go would let its late commit
-        run; so new reservations are refused until the marks are old."""
+    async def test_young_marks_are_never_evicted(self):
+        """Marks of voided attempts fill the table. Evicting the oldest would allow its late commit
+        to run, so new reservations are refused until the marks expire."""
         table = AttemptTable(SMALL)
         for number in range(5):
             table.void(add(table, number), 0.0)
-        assert table.bound_reached(99.0)
+        assert table.limit_reached(99.0)
         assert table.state(key(0), 99.0) is AttemptState.VOIDED
-        assert not table.bound_reached(101.0)
+        assert not table.limit_reached(101.0)
         assert table.mark_count == 0
 
-    async def test_void_without_room_closes_the_table(self):
-        """A query voids an attempt that never came, and there is no room for the mark. The late
-        reserve must be refused all the same."""
+    async def test_void_without_room_refuses_all_reservations(self):
+        """A query voids an attempt that never arrived, and there is no room for its mark. The late
+        reserve must still be refused."""
         table = AttemptTable(SMALL._replace(max_marks=1))
         table.void_absent(key(1), 0.0)
         table.void_absent(key(2), 50.0)
         assert table.mark_count == 1
-        assert table.bound_reached(149.0)
-        assert not table.bound_reached(151.0)
+        assert table.limit_reached(149.0)
+        assert not table.limit_reached(151.0)
 
-    async def test_forgotten_runs_are_not_said_to_be_absent(self):
-        """Marks of idempotent attempts that ran leave early at their bound. "Absent" would be read
-        as proof that such an attempt has not run, so nothing is said to be absent for a while."""
+    async def test_evicted_runs_are_not_reported_as_absent(self):
+        """Marks of idempotent attempts that ran are evicted early at their limit. "Absent" would be
+        taken as proof that such an attempt has not run, so no attempt is reported as absent until
+        the evicted mark would have expired."""
         table = AttemptTable(SMALL)
         for number in range(3):
             attempt = add(table, number, idempotent=True)
@@ -76,7 +77,7 @@
 
 
 class TestSettle:
-    async def test_a_settled_attempt_stays_as_it_is(self):
+    async def test_settled_attempt_is_not_settled_again(self):
         table = AttemptTable(SMALL)
         attempt = add(table, 1)
         table.void(attempt, 0.0)
--- a/packages/sidecar/tests/test_segments.py
+++ b/packages/sidecar/tests/test_segments.py
@@ -7,16 +7,16 @@
 from sassafrastally.serving.scheduling import EngineState, Work
 from sassafrastally.serving.spans import decode_done
 from sassafrastally.sidecar.attempt_key import AttemptKey
-from sassafrastally.sidecar.segments import Promise, beside_promises
+from sassafrastally.sidecar.segments import Promise, backfill_candidates
 from sassafrastally.wire.messages import Cancel, Chunk, Refused
 
 SEGMENT = {"tokens": 6, "segment_tokens": 6, "answer": 0, "max_output_tokens": 0}
 
 
 class TestPromises:
-    async def test_lapses_on_the_sidecars_clock(self, rig, autojump_clock):
-        """An entry is frozen after it has reserved a segment. Its link stands, so nothing but the
-        sidecar's own clock gives the engine back to others."""
+    async def test_promise_lapses_on_the_sidecars_clock(self, rig, autojump_clock):
+        """An entry is frozen after reserving a segment. Its link stays open, so only the sidecar's
+        own clock can release the promised memory for other work."""
         async with rig.stream() as stream:
             reserve = rig.reserve(1, **SEGMENT, starts_in_s=2.0, idempotent=True)
             reserved = await rig.reserved(stream, reserve)
@@ -27,7 +27,7 @@
             assert rig.service._engine_backend.promises.open() == []
             assert isinstance(await stream.receive(), Refused)
 
-    async def test_second_span_is_told_when_to_come_back(self, rig, autojump_clock):
+    async def test_second_span_is_refused_with_a_retry_time(self, rig, autojump_clock):
         blocks = rig.model.shape.total_blocks
         tokens = blocks * rig.model.shape.block_tokens // 2
         part = {"tokens": tokens, "segment_tokens": tokens, "max_output_tokens": 0}
@@ -42,7 +42,7 @@
 
 
 class TestExport:
-    async def test_held_until_cancelled(self, rig, autojump_clock):
+    async def test_export_is_held_until_cancelled(self, rig, autojump_clock):
         async with rig.stream() as stream:
             reserve = rig.reserve(1, **SEGMENT, idempotent=True)
             await rig.begin(stream, reserve)
@@ -56,9 +56,9 @@
         await trio.sleep(1)
         rig.check_memory()
 
-    async def test_unconfirmed_free_is_tried_again(self, rig, autojump_clock):
-        """The engine can't be reached when an export is to be freed. Without the sweep its blocks
-        would be lost for as long as the engine lives."""
+    async def test_unconfirmed_free_is_retried(self, rig, autojump_clock):
+        """The engine is unreachable when an export must be freed. Without the sweep, its blocks
+        would be lost until the engine restarts."""
         async with rig.stream() as stream:
             reserve = rig.reserve(1, **SEGMENT, idempotent=True)
             await rig.begin(stream, reserve)
@@ -69,7 +69,7 @@
         await trio.sleep(12)
         rig.check_memory()
 
-    async def test_next_sidecar_frees_it(self, rig, autojump_clock):
+    async def test_restarted_sidecar_frees_the_export(self, rig, autojump_clock):
         async with rig.stream() as stream:
             await rig.begin(stream, rig.reserve(1, **SEGMENT, idempotent=True))
             await stream.receive()
@@ -77,7 +77,7 @@
         await rig.restart()
         assert rig.model.streams() == []
 
-    async def test_missing_import_proves_not_run(self, rig, autojump_clock):
+    async def test_missing_import_means_not_run(self, rig, autojump_clock):
         imports = {
             "import_handles": ("span-x-1",),
             "import_sources": ("10.0.0.7:9000",),
@@ -94,14 +94,14 @@
         work = Work("r", 1, "c", prompt_tokens, 0, 10, 0, arrived_s, 600.0)
         promise = Promise(AttemptKey("span", 1), 80, 1.0, starts_at_s)
         cost = NaiveScheduler(None).cost
-        return beside_promises([work], EngineState(1.0, 16, 100, 100, ()), [promise], cost)
+        return backfill_candidates([work], EngineState(1.0, 16, 100, 100, ()), [promise], cost)
 
-    def test_beside(self):
+    def test_work_that_fits_beside_the_promise(self):
         assert self.allowed(prompt_tokens=300, starts_at_s=1.0)
         assert not self.allowed(prompt_tokens=400, starts_at_s=1.0)
 
-    def test_ends_before_the_segment_starts(self):
+    def test_work_that_ends_before_the_segment_starts(self):
         assert self.allowed(prompt_tokens=400, starts_at_s=1_000.0)
 
-    def test_admitted_before_the_promise(self):
+    def test_work_admitted_before_the_promise(self):
         assert self.allowed(prompt_tokens=400, arrived_s=0.5, starts_at_s=1.0)
