--- a/packages/sidecar/src/sassafrastally/sidecar/events.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/events.py
@@ -18,7 +18,7 @@
 
 @event(7102)
 class AttemptRefused(NamedTuple):
-    """An attempt was refused; unless the refusal is ``outcome-unknown``, it has not run."""
+    """A reserve, commit or attach message was refused; it did not run the attempt and won't."""
 
     request_id: str
     attempt: int
--- a/packages/sidecar/src/sassafrastally/sidecar/segments.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/segments.py
@@ -94,7 +94,7 @@
             if a.segment is not None and not a.has_started and not self._ledger.holds(a.stream_id)
         ]
 
-    def spans(self) -> list[Segment]:
+    def all_segments(self) -> list[Segment]:
         """Return all segments on this engine, including those that already hold their memory."""
         return [a.segment for a in self._table.live if a.segment is not None]
 
@@ -105,7 +105,7 @@
         for other work, which ends on its own, and never for another span, so spans can't deadlock.
         """
         capacity_blocks = span_blocks(self._ledger.total_blocks)
-        segments = self.spans()
+        segments = self.all_segments()
         used_blocks = sum(segment.blocks for segment in segments)
         if blocks > capacity_blocks:
             raise Refusal(
@@ -125,7 +125,7 @@
         Work that ends before the first segment is expected to start may use its memory until then
         (backfill), unless a segment already holds its memory.
         """
-        segments = self.spans()
+        segments = self.all_segments()
         if not segments:
             return
         need = blocks_needed(work, self._ledger.block_tokens)
--- a/packages/sidecar/src/sassafrastally/sidecar/settings.py
+++ b/packages/sidecar/src/sassafrastally/sidecar/settings.py
@@ -46,7 +46,7 @@
     """Maximum number of marks of settled attempts that must not run again; when it is reached, new
     attempts are refused as overloaded."""
     mark_age_s: float = 1_200.0
-    """How long a mark is kept; longer than the maximum time limit and dead link detection."""
+    """How long a mark is kept; longer than any time limit and than detecting a dead link takes."""
     max_ran_marks: int = 2_000
     """Maximum number of marks of idempotent attempts that ran; beyond it, the oldest is evicted."""
     max_answer_bytes: int = 24_000_000
