--- a/packages/sidecar/tests/test_admission.py
+++ b/packages/sidecar/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Refusals at once, each with figures that were true."""
+"""Immediate refusals by admission control and their figures."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
             ({"body_size_bytes": 101}, "body-too-large"),
         ],
     )
-    async def test_what_can_never_be_served_here(self, autojump_clock, make_rig, changes, code):
+    async def test_permanently_unservable_attempt_is_refused(
+        self, autojump_clock, make_rig, changes, code
+    ):
         rig = await make_rig(max_body_bytes=100)
         answer = await refused(rig, rig.reserve(1)._replace(**{"body_size_bytes": 50, **changes}))
         assert (answer.code, answer.retry_after_s) == (code, 0.0)
@@ -31,9 +33,9 @@
             assert (answer.limit, answer.measured) == (4096 * 16, 70_008)
 
     @pytest.mark.parametrize("bound", [{"max_attempts": 1}, {"max_body_bytes": 80}])
-    async def test_bounds_of_the_process(self, autojump_clock, make_rig, bound):
-        """One reservation fills a bound. The next is refused with the bound, and taken once the
-        first has gone."""
+    async def test_process_limits_refuse_until_freed(self, autojump_clock, make_rig, bound):
+        """One reservation reaches a limit. The next one is refused with that limit, and admitted
+        once the first is released."""
         rig = await make_rig(**bound)
         async with rig.stream() as stream:
             await rig.reserved(stream, rig.reserve(1, body_size_bytes=50))
--- a/packages/sidecar/tests/test_answer.py
+++ b/packages/sidecar/tests/test_answer.py
@@ -1,4 +1,4 @@
-"""Answers: numbered chunks, joining and the bound of what is kept."""
+"""Answer buffers: chunk numbering, joining and the memory limit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TestAnswer:
-    async def test_pieces_join_and_keep_their_number(self):
+    async def test_pieces_are_joined_and_keep_their_number(self):
         answer = Answer(key(1))
         answer.append(b"a", 1)
         answer.append(b"b", 2)
@@ -26,7 +26,7 @@
         assert answer.chunk(1).data == b"c"
         assert answer.chunk(2) is None
 
-    async def test_long_pieces_are_cut(self):
+    async def test_long_pieces_are_split(self):
         answer = Answer(key(1))
         answer.append(b"x" * (3 * JOINED_BYTES + 1), 5)
         answer.finish(End(*key(1)))
@@ -38,7 +38,7 @@
 
 
 class TestAnswerStore:
-    async def test_oldest_finished_answer_leaves_first(self):
+    async def test_oldest_finished_answer_is_evicted_first(self):
         store = AnswerStore(SidecarSettings(max_answer_bytes=250))
         for number in range(3):
             answer = store.begin(key(number))
@@ -49,7 +49,7 @@
         assert store.find(key(1)) and store.find(key(2))
         assert store.size_bytes == 200
 
-    async def test_growing_answer_lets_go_what_was_sent(self):
+    async def test_sent_chunks_of_unfinished_answer_are_evicted(self):
         store = AnswerStore(SidecarSettings(max_answer_bytes=250))
         answer = store.begin(key(1))
         answer.readers = 1
@@ -61,7 +61,7 @@
         with pytest.raises(AnswerNotKept):
             answer.chunk(0)
 
-    async def test_unsent_bytes_of_a_reader_are_never_let_go(self):
+    async def test_unsent_chunks_with_a_reader_are_never_evicted(self):
         store = AnswerStore(SidecarSettings(max_answer_bytes=250))
         answer = store.begin(key(1))
         answer.readers = 1
@@ -70,7 +70,7 @@
             assert answer.chunk(number) is not None
         assert answer.chunk(0) is not None
 
-    async def test_old_answers_leave(self):
+    async def test_old_answers_expire(self):
         store = AnswerStore(SidecarSettings(answer_age_s=10.0))
         answer = store.begin(key(1))
         store.append(answer, b"x", 1)
--- a/packages/sidecar/tests/test_conversation.py
+++ b/packages/sidecar/tests/test_conversation.py
@@ -12,7 +12,7 @@
 
 
 class TestReserveAndCommit:
-    async def test_streamed_answer_is_relayed_whole(self, autojump_clock, rig):
+    async def test_streamed_answer_is_relayed_completely(self, autojump_clock, rig):
         result = await rig.run(rig.reserve(1))
         assert result.tokens == 8
         assert [chunk.sequence for chunk in result.chunks] == list(range(result.end.chunks))
@@ -36,9 +36,9 @@
             await stream.send(rig.reserve(1, commit_now=True))
             assert (await stream.receive()).code == "bad-request"
 
-    async def test_pieces_join_while_the_reader_lags(self, autojump_clock, make_rig):
-        """An entry reads slowly while the engine goes on. What is ready together leaves together:
-        far fewer chunks than tokens, and no token is lost."""
+    async def test_pieces_are_joined_while_the_reader_lags(self, autojump_clock, make_rig):
+        """An entry reads slowly while the engine keeps generating. Pending pieces are joined, which
+        gives far fewer chunks than tokens, and no token is lost."""
         rig = await make_rig()
         reserve = rig.reserve(1, answer=4000)
         async with rig.stream() as stream:
@@ -49,7 +49,7 @@
         assert len(result.chunks) < 2500
 
     @pytest.mark.parametrize("extra", [b"{}", b""])
-    async def test_body_of_another_length_never_runs(self, autojump_clock, rig, extra):
+    async def test_body_of_wrong_length_never_runs(self, autojump_clock, rig, extra):
         reserve = rig.reserve(1)
         body = rig.bodies[reserve.request_id]
         async with rig.stream() as stream:
@@ -63,11 +63,11 @@
 
 
 class TestNotRun:
-    """Promise: what is said not to have run has not run and never will."""
+    """Guarantee: an attempt reported as not run has not run and never will."""
 
     async def test_lapsed_reservation_refuses_commit(self, autojump_clock, rig):
-        """An entry reserves and is slow; its commit comes after the lapse. The caller is told
-        "not run" and the request goes elsewhere, so this commit must not run."""
+        """A slow entry commits after its reservation has lapsed. The caller was told "not run" and
+        the request was retried elsewhere, so this commit must not run."""
         reserve = rig.reserve(1)
         async with rig.stream() as stream:
             reserved = await rig.reserved(stream, reserve)
@@ -81,13 +81,13 @@
         assert rig.executions(1) == 0
 
     async def test_commit_read_after_a_freeze_is_refused(self, autojump_clock, rig):
-        """The sidecar's VM is frozen with a commit in its socket and wakes long after the lapse;
-        it reads the commit before any timer has run. Its sender gave the attempt up meanwhile."""
+        """The sidecar's VM is frozen with a commit in its socket and resumes long after the lapse.
+        It reads the commit before any timer fires, but the sender has already given up."""
         reserve = rig.reserve(1)
         async with rig.stream() as stream:
             reserved = await rig.reserved(stream, reserve)
             attempt = rig.service.table.live[0]
-            # The freeze: time has passed in the table's eyes, and no task has run in between.
+            # Simulates the freeze: the reservation has lapsed although no task has run meanwhile.
             attempt.lapses_at_s -= reserved.lapse_s
             await rig.commit_alone(stream, reserve)
             assert (await stream.receive()).detail == "reservation lapsed"
@@ -95,8 +95,8 @@
         assert rig.executions(1) == 0
 
     async def test_voided_reservation_refuses_commit(self, autojump_clock, rig):
-        """An entry asks on a fresh stream to void what it reserved, and sends it elsewhere; its
-        frozen twin task then commits on the old stream."""
+        """An entry voids its reservation on a new stream and retries elsewhere. Another task of the
+        entry, which was frozen, then commits on the old stream."""
         reserve = rig.reserve(1)
         async with rig.stream() as stream:
             await rig.reserved(stream, reserve)
@@ -107,8 +107,8 @@
         assert rig.executions(1) == 0
 
     async def test_void_of_an_absent_attempt_stops_a_late_reserve(self, autojump_clock, rig):
-        """The reserve is held up on its way; the entry asks, hears "absent", and tries elsewhere.
-        Then the reserve and its commit arrive after all."""
+        """The reserve message is delayed. The entry queries the attempt, gets "absent" and retries
+        elsewhere; then the reserve and its commit arrive."""
         reserve = rig.reserve(1)
         assert await rig.query(reserve, void=True) == "absent"
         async with rig.stream() as stream:
@@ -117,8 +117,8 @@
         assert await rig.query(reserve) == "voided"
 
     async def test_commit_without_reservation_stops_a_late_reserve(self, autojump_clock, rig):
-        """A commit comes alone and is refused as not run; the reserve that was overtaken comes
-        after it and must not make that untrue."""
+        """A commit arrives before its reserve and is refused as not run. The reserve that arrives
+        afterwards must not be admitted, or the attempt could still run."""
         reserve = rig.reserve(1)
         async with rig.stream() as stream:
             await rig.commit_alone(stream, reserve)
@@ -127,7 +127,7 @@
             await stream.send(reserve)
             assert isinstance(await stream.receive(), Refused)
 
-    async def test_cut_before_commit_voids(self, autojump_clock, rig):
+    async def test_link_cut_before_commit_voids(self, autojump_clock, rig):
         reserve = rig.reserve(1)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
@@ -137,9 +137,9 @@
                 await stream.receive()
         assert await rig.query(reserve) == "voided"
 
-    async def test_cut_amid_the_body_voids(self, autojump_clock, rig):
-        """The link is cut when half of the body is here. Nothing was handed to the engine, and
-        nobody can send the rest, so it is proved not to have run."""
+    async def test_link_cut_during_the_body_voids(self, autojump_clock, rig):
+        """The link is cut after part of the body has arrived. Nothing was sent to the engine and
+        the rest can't arrive any more, so the attempt has provably not run."""
         reserve = rig.reserve(1)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
@@ -171,11 +171,11 @@
 
 
 class TestAtMostOnce:
-    """Promise: a non-idempotent request runs at most once."""
+    """Guarantee: a non-idempotent request runs at most once."""
 
     async def test_second_commit_is_not_run_again(self, autojump_clock, rig):
-        """A commit is repeated on a fresh stream, during the run and after it. Its answer must not
-        read as proof that the attempt has not run."""
+        """A commit is repeated on a new stream, during the run and after it. The reply must not be
+        taken as proof that the attempt has not run."""
         reserve = rig.reserve(1, answer=200)
         async with rig.stream() as stream:
             await rig.begin(stream, reserve)
@@ -196,7 +196,7 @@
         await trio.sleep(5)
         assert rig.executions(1) == 1
 
-    async def test_second_commit_on_its_own_stream_is_passed_over(self, autojump_clock, rig):
+    async def test_second_commit_on_its_own_stream_is_ignored(self, autojump_clock, rig):
         reserve = rig.reserve(1, answer=50)
         async with rig.stream() as stream:
             await rig.begin(stream, reserve)
@@ -204,9 +204,9 @@
             assert (await rig.answer(stream)).tokens == 50
         assert rig.executions(1) == 1
 
-    async def test_cut_after_commit_goes_on_and_can_be_attached(self, autojump_clock, rig):
-        """A booking is committed and the link is cut. It runs on to its end; the entry asks,
-        hears "committed", attaches and gets the rest of the answer, each chunk once."""
+    async def test_run_continues_after_link_cut_and_can_be_attached(self, autojump_clock, rig):
+        """The link is cut after the commit of a non-idempotent attempt. The run continues; the
+        entry queries it, gets "committed", attaches and receives each remaining chunk once."""
         reserve = rig.reserve(1, answer=400)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
@@ -234,9 +234,9 @@
             again = await rig.answer(stream)
         assert (again.chunks, again.end) == (first.chunks, first.end)
 
-    async def test_answer_let_go_is_said_to_be_completed(self, autojump_clock, make_rig):
-        """The kept answers' memory is full; the oldest has left. Its booking ran and is done, and
-        that is what a late retry is told, not that it never ran."""
+    async def test_evicted_answer_is_reported_as_completed(self, autojump_clock, make_rig):
+        """The memory limit for answers evicts the oldest answer. A late reader must be told that
+        the attempt has completed, not that it never ran."""
         rig = await make_rig(max_answer_bytes=5_000)
         for number in (1, 2, 3):
             await rig.run(rig.reserve(number, answer=20))
@@ -246,9 +246,9 @@
             end = (await rig.answer(stream)).end
         assert (end.outcome, end.code) == ("completed", "answer-not-kept")
 
-    async def test_attached_amid_the_body_hears_that_it_is_void(self, autojump_clock, rig):
-        """An entry attaches while another of its tasks still sends the body, and that task dies.
-        The reader must get an end mark and not wait for ever."""
+    async def test_reader_attached_during_the_body_gets_an_end_mark(self, autojump_clock, rig):
+        """An entry attaches while another of its tasks is still sending the body, and that task
+        dies. The reader must get an end mark instead of waiting forever."""
         reserve = rig.reserve(1)
         async with rig.stream() as reader:
             async with rig.stream() as stream:
@@ -258,9 +258,9 @@
                 await trio.sleep(0.1)
             assert (await reader.receive()).outcome == "not_run"
 
-    async def test_killed_between_commit_and_start(self, autojump_clock, make_rig):
-        """The sidecar dies with a committed booking in its queue and comes back on the same
-        address. The new life knows nothing of it: it must neither run it nor say it has not run."""
+    async def test_kill_between_commit_and_start(self, autojump_clock, make_rig):
+        """The sidecar is killed with a committed attempt in its queue and restarts on the same
+        address. The new incarnation must neither run the attempt nor report it as not run."""
         rig = await make_rig()
         big = rig.reserve(1, tokens=40_000, answer=8_000, time_limit_s=900.0)
         small = rig.reserve(2, tokens=40_000, answer=8_000, time_limit_s=900.0)
@@ -281,7 +281,7 @@
 
 
 class TestCancel:
-    async def test_cancel_amid_the_run_frees_the_engine(self, autojump_clock, rig):
+    async def test_cancel_during_the_run_frees_the_engine(self, autojump_clock, rig):
         reserve = rig.reserve(1, answer=2000)
         async with rig.stream() as stream:
             await rig.begin(stream, reserve)
@@ -306,8 +306,8 @@
 class TestEntryGone:
     @pytest.mark.parametrize("idempotent", [True, False])
     async def test_unread_run(self, autojump_clock, rig, idempotent):
-        """An entry dies while it reads an answer. What may be repeated only takes memory from
-        others and is cancelled after the grace; a booking runs on and its answer is kept."""
+        """An entry dies while reading an answer. An idempotent run is cancelled after the grace
+        period to free its memory; a non-idempotent one continues and its answer is kept."""
         reserve = rig.reserve(1, answer=3000, idempotent=idempotent)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
@@ -326,7 +326,7 @@
             assert await rig.query(reserve) == "completed"
             rig.check_memory()
 
-    async def test_attached_in_the_grace_goes_on(self, autojump_clock, rig):
+    async def test_run_attached_within_the_grace_period_continues(self, autojump_clock, rig):
         reserve = rig.reserve(1, answer=2000, idempotent=True)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
@@ -343,7 +343,7 @@
 
 class TestSpeed:
     async def test_many_reservations_do_not_slow_each_other(self, autojump_clock, rig):
-        """A guard against a table that is walked for each message; the figure is in the docs."""
+        """Guards against scanning the whole table for each message; the docs have the figure."""
         started = time.perf_counter()
         async with trio.open_nursery() as nursery:
             for number in range(1, 101):
--- a/packages/sidecar/tests/test_dialects.py
+++ b/packages/sidecar/tests/test_dialects.py
@@ -1,4 +1,4 @@
-"""Tests of the engine dialects against the engine's HTTP server over loopback."""
+"""Tests of the engine dialects against an HTTP engine server over loopback."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @asynccontextmanager
 async def raw_engine(answer: bytes) -> AsyncIterator[OpenAiDialect]:
-    """Serve fixed bytes to each connection, which ends with them."""
+    """Send fixed bytes on each connection, then close it."""
 
     async def handle(stream: trio.SocketStream) -> None:
         async with stream:
@@ -69,7 +69,7 @@
         nursery.cancel_scope.cancel()
 
 
-def asking(stream_id: str, output: int = 12, stream: bool = True) -> EngineRequest:
+def make_request(stream_id: str, output: int = 12, stream: bool = True) -> EngineRequest:
     body = json.dumps({"prompt": "x" * 256, "stream": stream}).encode()
     return EngineRequest(stream_id, "small", "POST /v1/completions", body, 64, output, 0)
 
@@ -83,24 +83,24 @@
 
 
 class TestRuns:
-    async def test_stream_whole_and_resumed_agree(self) -> None:
+    async def test_streamed_whole_and_resumed_answers_agree(self) -> None:
         async with engine_at(EngineModel(FAST._replace(decode_stride=3))) as engine:
-            async with engine.generate(asking("a")) as run:
+            async with engine.generate(make_request("a")) as run:
                 chunks = [chunk async for chunk in run]
             assert sum(chunk.tokens for chunk in chunks) == 12
             assert run.usage and (run.usage.prompt_tokens, run.usage.output_tokens) == (64, 12)
             assert run.usage.finish_reason == "length"
             whole = texts([chunk.data for chunk in chunks])
-            async with engine.generate(asking("b", stream=False)) as run:
+            async with engine.generate(make_request("b", stream=False)) as run:
                 assert texts(await drain(run)) == whole
             assert run.usage and run.usage.cached_tokens == 63
-            async with engine.generate(asking("c")._replace(resume_from_tokens=5)) as run:
+            async with engine.generate(make_request("c")._replace(resume_from_tokens=5)) as run:
                 assert texts(await drain(run)).split() == whole.split()[5:]
 
     async def test_leaving_the_context_frees_the_engine(self) -> None:
         model = EngineModel(SLOW)
         async with engine_at(model) as engine:
-            async with engine.generate(asking("left", 1000)) as run:
+            async with engine.generate(make_request("left", 1000)) as run:
                 await anext(aiter(run))
                 assert [stream.stream_id for stream in await engine.list_streams()] == ["left"]
             assert model.streams() == []
@@ -109,12 +109,12 @@
     async def test_finished_prefill_is_exported_or_freed(self) -> None:
         model = EngineModel(FAST)
         async with engine_at(model) as engine:
-            async with engine.generate(asking("prefill", 0)) as run:
+            async with engine.generate(make_request("prefill", 0)) as run:
                 await drain(run)
                 assert await engine.export_kv("prefill", "kv") == 4
             assert [stream.kind for stream in await engine.list_streams()] == ["export"]
             assert await engine.free_export("kv")
-            async with engine.generate(asking("forgotten", 0)) as run:
+            async with engine.generate(make_request("forgotten", 0)) as run:
                 await drain(run)
             assert model.memory.free_blocks == 256
 
@@ -125,28 +125,28 @@
             bound.bind(("127.0.0.1", 0))
             engine = OpenAiDialect(Address(*bound.getsockname()))
             with pytest.raises(EngineUnavailable):
-                async with engine.generate(asking("unsent")):
+                async with engine.generate(make_request("unsent")):
                     pass
 
-    async def test_refusal_of_the_engine_is_told(self) -> None:
+    async def test_rejection_by_the_engine_is_raised(self) -> None:
         model = EngineModel(FAST)
         async with engine_at(model) as engine:
             with pytest.raises(EngineRefused, match="of 256"):
-                async with engine.generate(asking("long", 5000)):
+                async with engine.generate(make_request("long", 5000)):
                     pass
         assert not model.started
 
     @pytest.mark.parametrize("stream", [True, False])
     async def test_answer_without_end_mark_is_a_failure(self, stream: bool) -> None:
-        """A clerk would take half a declaration's reading for the whole.
+        """A truncated answer must not be taken for a complete one.
 
-        The engine ends the answer in good form after a few words, without its end mark.
+        The engine closes the answer cleanly after a few words, without its end mark.
         """
         model = EngineModel(FAST)
         model.ends_without_mark = True
         async with engine_at(model) as engine:
             with pytest.raises(EngineFailed):
-                async with engine.generate(asking("short", stream=stream)) as run:
+                async with engine.generate(make_request("short", stream=stream)) as run:
                     await drain(run)
 
     @pytest.mark.parametrize(
@@ -163,22 +163,22 @@
             b"HTTP/1.1 200 OK\r\n\r\ndata: " + b"x" * 1_200_000,
         ],
     )
-    async def test_broken_answers_are_failures_never_unsent(self, answer: bytes) -> None:
+    async def test_broken_answers_are_failures_not_unavailability(self, answer: bytes) -> None:
         async with raw_engine(answer) as engine:
             with pytest.raises(EngineFailed):
-                async with engine.generate(asking("broken")) as run:
+                async with engine.generate(make_request("broken")) as run:
                     await drain(run)
 
-    async def test_whole_answer_of_a_plain_engine_counts_a_token_an_event(self) -> None:
+    async def test_events_without_usage_count_as_one_token_each(self) -> None:
         answer = b"HTTP/1.1 200 OK\r\n\r\n" + EVENT * 2 + USAGE + b"data: [DONE]\n\n" + EVENT
         async with raw_engine(answer) as engine:
-            async with engine.generate(asking("plain")) as run:
+            async with engine.generate(make_request("plain")) as run:
                 assert [chunk.tokens async for chunk in run] == [1, 1]
             assert run.usage is not None
 
 
 class TestCalls:
-    async def test_orders_carry_the_fence(self) -> None:
+    async def test_orders_carry_the_fencing_token(self) -> None:
         model = EngineModel(FAST)
         async with engine_at(model) as engine:
             await engine.order(EngineOrder(4, "load_adapter", "small", adapter="sondrio"))
@@ -195,11 +195,11 @@
             engine_at(EngineModel(FAST)) as source,
             engine_at(EngineModel(FAST)) as leader,
         ):
-            async with source.generate(asking("segment", 0)) as run:
+            async with source.generate(make_request("segment", 0)) as run:
                 await drain(run)
                 blocks = await source.export_kv("segment", "kv")
             await leader.import_kv("kv", source.address, blocks)
-            async with leader.generate(asking("led")._replace(import_handles=("kv",))) as run:
+            async with leader.generate(make_request("led")._replace(import_handles=("kv",))) as run:
                 assert len(await drain(run)) == 12
             assert [stream.kind for stream in await leader.list_streams()] == ["import"]
             with pytest.raises(EngineRefused):
--- a/packages/sidecar/tests/test_event_stream.py
+++ b/packages/sidecar/tests/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of the reading of server-sent events."""
+"""Tests of the server-sent events parser."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     @seed(1)
     @settings(max_examples=100, database=None)
     @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
-    def test_cuts_anywhere_give_the_same_events(self, cuts: list[int]) -> None:
+    def test_events_do_not_depend_on_piece_boundaries(self, cuts: list[int]) -> None:
         reader = EventReader()
         bounds = [0, *sorted(cuts), len(STREAM)]
         pieces = [STREAM[start:end] for start, end in pairwise(bounds)]
@@ -27,10 +27,10 @@
         assert events == [b"one", b"two\nlines", b"[DONE]"]
 
     @pytest.mark.parametrize("line", [b"data: " + b"x" * 4096, b"data: " + b"x" * 4096 + b"\n"])
-    def test_endless_events_are_refused(self, line: bytes) -> None:
-        """A broken engine would fill the sidecar's memory and take every run with it.
+    def test_endless_events_are_rejected(self, line: bytes) -> None:
+        """A broken engine must not exhaust the sidecar's memory, which would end every run.
 
-        It sends one event that never ends, as one long line or as ever more lines.
+        The engine sends one event that never ends, as one long line or as more and more lines.
         """
         reader = EventReader()
         with pytest.raises(BadEventStream):
--- a/packages/sidecar/tests/test_placement_agent.py
+++ b/packages/sidecar/tests/test_placement_agent.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar's part of placement: which orders reach the engine."""
+"""Tests of the placement agent: which orders reach the engine."""
 
 from __future__ import annotations
 
@@ -31,11 +31,13 @@
 COMPARE_S = 5.0
 LOAD_S = 8.0
 LEASE_S = 10.0
-both_kinds = pytest.mark.parametrize("checks_fencing", [True, False], ids=["checks", "ignores"])
+both_fencing_kinds = pytest.mark.parametrize(
+    "checks_fencing", [True, False], ids=["checks", "ignores"]
+)
 
 
-class NoPeers(Service):
-    """Links that nothing comes over: the tests hand orders to the agent themselves."""
+class StubPeers(Service):
+    """Peers without links; the tests pass orders to the agent directly."""
 
     name: ClassVar[str] = "peers"
 
@@ -43,8 +45,8 @@
         pass
 
 
-class World:
-    """One engine with its record; sidecars come and go."""
+class PlacementRig:
+    """One engine with its placement record, and sidecars that can be replaced."""
 
     def __init__(self, nursery: trio.Nursery, checks_fencing: bool) -> None:
         self.kv = KvModel(Random(5))
@@ -62,13 +64,13 @@
         return self.engine.placement.models
 
     async def start_sidecar(self, pinned: tuple[str, ...] = ()) -> PlacementAgent:
-        """Start a sidecar in place of the one before."""
+        """Start a sidecar that replaces the previous one."""
         for scope in self._scopes:
             scope.cancel()
         kernel = Kernel(VM, "dc", seed=len(self._scopes))
         store = FakeWeightStore(self.weight_store)
         kernel.add(PlatformService(FakeKv(self.kv), None, store))  # type: ignore[arg-type]
-        kernel.add(NoPeers())
+        kernel.add(StubPeers())
         settings = PlacementAgentSettings(compare_interval_s=COMPARE_S)
         agent = kernel.add(PlacementAgent(settings, self.client, pinned))
         scope = await self._nursery.start(_run, kernel)
@@ -76,7 +78,7 @@
         return agent
 
     async def begin_tenure(self) -> Tenure:
-        """Take the fence as the next holder, after the lease of the one before has lapsed."""
+        """Acquire the lease as the next holder, after the previous lease has lapsed."""
         kernel = Kernel("entry", "dc", seed=9)
         await trio.sleep(LEASE_S + 1.0)
         tenure = await LeaseHolder(kernel, FakeKv(self.kv), KEYS, LEASE_S).acquire()
@@ -84,7 +86,7 @@
         return tenure
 
     async def record(self, version: str) -> int:
-        """Let the next holder write which version the engine is to run; return its fence."""
+        """Record as the next holder which version the engine must run; return the fencing token."""
         tenure = await self.begin_tenure()
         placed = PlacedModel("reader", version, f"reader@{version}")
         lines = {VM: EngineLine(VM, (placed,))}
@@ -101,9 +103,9 @@
 
 
 @asynccontextmanager
-async def open_world(checks_fencing: bool = False) -> AsyncIterator[World]:
+async def open_rig(checks_fencing: bool = False) -> AsyncIterator[PlacementRig]:
     async with trio.open_nursery() as nursery:
-        yield World(nursery, checks_fencing)
+        yield PlacementRig(nursery, checks_fencing)
         nursery.cancel_scope.cancel()
 
 
@@ -120,56 +122,56 @@
 
 
 class TestFence:
-    @both_kinds
-    async def test_an_order_of_a_holder_woken_past_its_lease_is_refused(
+    @both_fencing_kinds
+    async def test_order_of_a_holder_with_a_lapsed_lease_is_rejected(
         self, autojump_clock: Any, checks_fencing: bool
     ) -> None:
-        """A holder is frozen with an order on its way; the next holder changes the version.
+        """A lease holder is frozen with an order in transit; the next holder changes the version.
 
-        Then the old order arrives: unload the version that now serves. Obeyed, every request to
-        this engine would be refused although the record says that it serves.
+        Then the old order arrives and asks to unload the version now in use. If it were executed,
+        this engine would refuse every request although the record says that it serves.
         """
-        async with open_world(checks_fencing) as world:
-            old = await world.record("1")
-            agent = await world.start_sidecar()
+        async with open_rig(checks_fencing) as rig:
+            old = await rig.record("1")
+            agent = await rig.start_sidecar()
             assert (await agent.obey(observe(old))).state == PlacementState.DONE
-            new = await world.record("2")
+            new = await rig.record("2")
             assert (await agent.obey(load(new, "2"))).state == PlacementState.DONE
             reply = await agent.obey(unload(old, "2"))
             assert (reply.state, reply.fence) == (PlacementState.OUTDATED, new)
-            assert world.models == ("reader@1", "reader@2")
+            assert rig.models == ("reader@1", "reader@2")
 
-    @both_kinds
-    async def test_a_restarted_sidecar_learns_the_fence_before_it_obeys(
+    @both_fencing_kinds
+    async def test_restarted_sidecar_reads_the_fence_before_executing_orders(
         self, autojump_clock: Any, checks_fencing: bool
     ) -> None:
-        """A sidecar restarts and has forgotten the highest number; an old order arrives first.
+        """A restarted sidecar has lost the highest fencing token and gets an outdated order first.
 
-        While the KV service is down nobody can tell old from new, so none is obeyed; afterwards
-        the record tells.
+        While the KV service is down, outdated and current orders can't be distinguished, so none
+        is executed. Afterwards the record provides the highest token.
         """
-        async with open_world(checks_fencing) as world:
-            old = await world.record("1")
-            new = await world.record("2")
-            agent = await world.start_sidecar()
+        async with open_rig(checks_fencing) as rig:
+            old = await rig.record("1")
+            new = await rig.record("2")
+            agent = await rig.start_sidecar()
             assert (await agent.obey(load(new, "2"))).state == PlacementState.DONE
-            world.kv.set_faults(KvFaults(down=True))
-            agent = await world.start_sidecar()
+            rig.kv.set_faults(KvFaults(down=True))
+            agent = await rig.start_sidecar()
             for fence in (old, new):
                 reply = await agent.obey(unload(fence, "2"))
                 assert reply.state == PlacementState.FENCE_UNKNOWN
-            world.kv.set_faults(KvFaults())
+            rig.kv.set_faults(KvFaults())
             assert (await agent.obey(unload(old, "2"))).state == PlacementState.OUTDATED
             assert agent.highest_fence == new
-            assert world.models == ("reader@1", "reader@2")
+            assert rig.models == ("reader@1", "reader@2")
 
-    async def test_an_order_overtaken_during_its_load_is_told_so_and_undone(
+    async def test_order_superseded_during_its_load_is_reported_and_reverted(
         self, autojump_clock: Any
     ) -> None:
-        """A load is under way when the next holder speaks, whose record wants another version."""
-        async with open_world() as world:
-            old = await world.record("1")
-            agent = await world.start_sidecar()
+        """The next holder, whose record has another version, sends an order during a load."""
+        async with open_rig() as rig:
+            old = await rig.record("1")
+            agent = await rig.start_sidecar()
             replies: list[PlacementReply] = []
 
             async def order() -> None:
@@ -180,97 +182,98 @@
                 await trio.sleep(LOAD_S / 2)
                 assert (await agent.obey(observe(old + 1))).state == PlacementState.DONE
             assert replies[0].state == PlacementState.OUTDATED
-            assert "reader@3" in world.models
+            assert "reader@3" in rig.models
             await trio.sleep(2 * COMPARE_S)
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@1",)
 
-    async def test_the_last_ready_version_is_not_unloaded(self, autojump_clock: Any) -> None:
-        """An order to unload the old version comes although the new one isn't there.
+    async def test_last_ready_version_is_not_unloaded(self, autojump_clock: Any) -> None:
+        """An order to unload the old version arrives while the new one is not loaded.
 
-        The engine restarted after the holder's last look: unloading would leave nothing.
+        The engine restarted after the holder last checked it, so unloading would leave no model.
         """
-        async with open_world() as world:
-            fence = await world.record("2")
-            agent = await world.start_sidecar()
+        async with open_rig() as rig:
+            fence = await rig.record("2")
+            agent = await rig.start_sidecar()
             reply = await agent.obey(unload(fence, "1", needed="reader@2"))
             assert reply.state == PlacementState.LAST_READY
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@1",)
 
 
 class TestComparison:
-    async def test_an_old_order_that_reached_the_engine_past_the_agent_is_put_right(
+    async def test_outdated_order_executed_by_the_engine_is_corrected(
         self, autojump_clock: Any
     ) -> None:
-        """An earlier life of the sidecar was frozen with old orders on their way to the engine.
+        """Outdated orders of an earlier, frozen sidecar incarnation reach the engine late.
 
-        The engine ignores fencing and carries them out: the old version is back and the new one
-        gone. Callers would get answers of a version that no one signed, until the comparison.
+        The engine ignores fencing and executes them, so the old version is back and the new one is
+        gone. Until the comparison, callers would get answers of a version that is not signed.
         """
-        async with open_world() as world:
-            await world.record("1")
-            new = await world.record("2")
-            agent = await world.start_sidecar()
+        async with open_rig() as rig:
+            await rig.record("1")
+            new = await rig.record("2")
+            agent = await rig.start_sidecar()
             await trio.sleep(2 * COMPARE_S + LOAD_S)
-            # What was never there is loaded when the holder says so, who spreads the loads.
-            assert world.models == ("reader@1",)
+            # Only the lease holder, which staggers loads, orders the first load of a version.
+            assert rig.models == ("reader@1",)
             await agent.obey(load(new, "2"))
             await agent.obey(unload(new, "1", needed="reader@2"))
             await trio.sleep(2 * COMPARE_S)
-            assert world.models == ("reader@2",)
-            await world.client.order(EngineOrder(new - 1, "load", "reader", "1"))
-            await world.client.order(EngineOrder(new - 1, "unload", "reader", "2"))
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@2",)
+            await rig.client.order(EngineOrder(new - 1, "load", "reader", "1"))
+            await rig.client.order(EngineOrder(new - 1, "unload", "reader", "2"))
+            assert rig.models == ("reader@1",)
             await trio.sleep(3 * COMPARE_S + LOAD_S)
-            assert world.models == ("reader@2",)
+            assert rig.models == ("reader@2",)
 
-    async def test_a_line_that_it_has_not_heard_of_is_not_undone(self, autojump_clock: Any) -> None:
-        """The next holder's load ends between two comparisons; the agent knows the old line."""
-        async with open_world() as world:
-            first = await world.record("1")
-            agent = await world.start_sidecar()
+    async def test_unseen_newer_line_is_not_reverted(self, autojump_clock: Any) -> None:
+        """The next holder's load ends between two comparisons while the agent has the old line."""
+        async with open_rig() as rig:
+            first = await rig.record("1")
+            agent = await rig.start_sidecar()
             await agent.obey(observe(first))
             await trio.sleep(2 * COMPARE_S)
-            new = await world.record("2")
+            new = await rig.record("2")
             await agent.obey(load(new, "2"))
             await agent.obey(unload(new, "1", needed="reader@2"))
             await trio.sleep(4 * COMPARE_S)
-            assert world.models == ("reader@2",)
-            assert world.weight_store.loads == []
-
-    async def test_in_a_kv_outage_nothing_is_put_right(self, autojump_clock: Any) -> None:
-        """The record can't be read: the comparison might undo what it hasn't heard of."""
-        async with open_world() as world:
-            await world.record("1")
-            await world.start_sidecar()
+            assert rig.models == ("reader@2",)
+            assert rig.weight_store.loads == []
+
+    async def test_nothing_is_corrected_during_a_kv_outage(self, autojump_clock: Any) -> None:
+        """The record can't be read, so a correction might revert a change not seen yet."""
+        async with open_rig() as rig:
+            await rig.record("1")
+            await rig.start_sidecar()
             await trio.sleep(2 * COMPARE_S)
-            await world.client.order(EngineOrder(0, "load", "reader", "0"))
-            world.kv.set_faults(KvFaults(down=True))
+            await rig.client.order(EngineOrder(0, "load", "reader", "0"))
+            rig.kv.set_faults(KvFaults(down=True))
             await trio.sleep(4 * COMPARE_S)
-            assert world.models == ("reader@1", "reader@0")
-            world.kv.set_faults(KvFaults())
+            assert rig.models == ("reader@1", "reader@0")
+            rig.kv.set_faults(KvFaults())
             await trio.sleep(2 * COMPARE_S)
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@1",)
 
-    async def test_an_engine_that_restarts_empty_in_a_kv_outage_is_loaded_again(
+    async def test_engine_restarted_empty_during_a_kv_outage_is_loaded_again(
         self, autojump_clock: Any
     ) -> None:
-        """An engine dies in a long outage and comes back with nothing loaded.
+        """An engine restarts with nothing loaded during a long KV outage.
 
-        Left so until the record can be read, the replica would be lost for the whole outage.
+        If it were not loaded until the record can be read, the replica would be lost for the whole
+        outage.
         """
-        async with open_world() as world:
-            await world.record("1")
-            await world.start_sidecar()
+        async with open_rig() as rig:
+            await rig.record("1")
+            await rig.start_sidecar()
             await trio.sleep(2 * COMPARE_S)
-            world.kv.set_faults(KvFaults(down=True))
-            world.engine.placement._models.clear()
+            rig.kv.set_faults(KvFaults(down=True))
+            rig.engine.placement._models.clear()
             await trio.sleep(2 * COMPARE_S + LOAD_S)
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@1",)
 
-    async def test_without_a_record_the_engine_is_left_as_it_is(self, autojump_clock: Any) -> None:
-        """A deployment without placement: what the operator loaded stays."""
-        async with open_world() as world:
-            agent = await world.start_sidecar(pinned=("reader",))
+    async def test_engine_without_a_record_is_not_changed(self, autojump_clock: Any) -> None:
+        """In a deployment without placement, the models that the operator loaded stay."""
+        async with open_rig() as rig:
+            agent = await rig.start_sidecar(pinned=("reader",))
             await trio.sleep(4 * COMPARE_S)
-            assert world.models == ("reader@1",)
+            assert rig.models == ("reader@1",)
             assert (await agent.obey(observe(0))).is_pinned
--- a/packages/sidecar/tests/test_plain.py
+++ b/packages/sidecar/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain services: calls that may not be repeated, a few at a time."""
+"""Plain services: non-repeatable calls with limited concurrency."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeService:
-    """A service that counts what it was called for."""
+    """A service that records its calls and their concurrency."""
 
     def __init__(self):
         self.calls = []
@@ -72,7 +72,7 @@
 
 
 class TestPlainService:
-    async def test_answer_comes_whole(self, autojump_clock, start, service):
+    async def test_answer_is_complete(self, autojump_clock, start, service):
         rig = await start()
         result = await rig.run(call(rig, 1))
         assert b"".join(chunk.data for chunk in result.chunks) == b'{"booked": true}'
@@ -80,7 +80,7 @@
         assert result.end.content_type == "application/json"
         assert [entry[:2] for entry in service.calls] == [("POST", "/bookings")]
 
-    async def test_calls_at_a_time_are_bounded(self, autojump_clock, start, service):
+    async def test_concurrent_calls_are_limited(self, autojump_clock, start, service):
         rig = await start()
         async with trio.open_nursery() as nursery:
             for number in range(1, 8):
@@ -91,21 +91,21 @@
         ("failure", "outcome"),
         [(PlainNotSent("no connection"), "not_run"), (PlainMaybeRan("broke"), "unknown")],
     )
-    async def test_failures_tell_what_is_known(
+    async def test_failures_report_whether_the_call_may_have_run(
         self, autojump_clock, start, service, failure, outcome
     ):
         rig = await start()
         service.failure = failure
         assert (await rig.run(call(rig, 1))).end.outcome == outcome
 
-    async def test_part_of_an_answer_is_a_failure(self, autojump_clock, start, service):
+    async def test_incomplete_answer_is_a_failure(self, autojump_clock, start, service):
         rig = await start()
         service.is_complete = False
         assert (await rig.run(call(rig, 1))).end.outcome == "failed"
 
-    async def test_booking_runs_once_over_a_cut(self, autojump_clock, start, service):
-        """The link is cut amid a booking. The entry comes back, asks to void it, hears that it was
-        committed, and gets the answer of the one booking."""
+    async def test_call_runs_once_when_the_link_is_cut(self, autojump_clock, start, service):
+        """The link is cut during a call. The entry reconnects and tries to void the attempt, learns
+        that it was committed, and gets the answer of the single call."""
         rig = await start()
         reserve = call(rig, 1)
         with pytest.raises(LinkCut):
@@ -120,7 +120,7 @@
             assert (await rig.answer(stream)).end.outcome == "completed"
         assert len(service.calls) == 1
 
-    async def test_limit_passes_while_it_waits(self, autojump_clock, start, service):
+    async def test_time_limit_passes_while_waiting(self, autojump_clock, start, service):
         rig = await start()
         ends = []
 
--- a/packages/sidecar/tests/test_runner.py
+++ b/packages/sidecar/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Runs: time limits, engines that fail, memory that comes back."""
+"""Runs: time limits, engine failures and release of memory."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from sassafrastally.testing.engine_model import EngineShape
 
 
-async def settled(rig, seconds=1.0):
-    """Let cancellations and the next sweep come through."""
+async def check_memory_after(rig, seconds=1.0):
+    """Wait for cancellations and the next sweep, then check that all memory is free."""
     await trio.sleep(seconds)
     rig.check_memory()
 
 
 class TestTimeLimits:
-    """Promise: every admitted request finishes or fails within its time limit."""
+    """Guarantee: every admitted request finishes or fails within its time limit."""
 
     async def test_limit_passes_in_the_queue(self, autojump_clock, make_rig):
-        """A short request is admitted and waits behind one that takes longer than predicted. At
-        its limit the caller hears so at once, and it was never on the engine."""
+        """A short request waits behind one that takes longer than predicted. When its limit passes,
+        the caller is told immediately, and the request was never sent to the engine."""
         rig = await make_rig()
         ahead = rig.reserve(1, tokens=60_000, answer=1_000)
         late = rig.reserve(2, tokens=10_000, answer=100, time_limit_s=80.0)
@@ -38,9 +38,9 @@
         assert await rig.query(late) == "voided"
         rig.model.thaw()
 
-    async def test_limit_passes_amid_the_run(self, autojump_clock, rig):
-        """The engine stalls amid an answer. At the limit the caller gets an end mark at once, not
-        when the engine answers again; the run is cancelled and its memory is free."""
+    async def test_limit_passes_during_the_run(self, autojump_clock, rig):
+        """The engine stalls during an answer. At the limit the caller gets an end mark immediately,
+        not when the engine resumes; the run is cancelled and its memory freed."""
         reserve = rig.reserve(1, answer=500, time_limit_s=60.0)
         async with rig.stream() as stream:
             await rig.begin(stream, reserve)
@@ -51,11 +51,11 @@
             assert trio.current_time() - start_s == pytest.approx(60.0, abs=0.2)
         assert (end.outcome, end.code) == ("failed", "time-limit-passed")
         rig.model.thaw()
-        await settled(rig, 12.0)
+        await check_memory_after(rig, 12.0)
 
-    async def test_commit_shortens_the_limit_only(self, autojump_clock, rig):
-        """The time limit counts from the reserve: an entry whose clock was slow or that was frozen
-        can't stretch it with its commit."""
+    async def test_commit_can_only_shorten_the_limit(self, autojump_clock, rig):
+        """The time limit counts from the reserve message. An entry that was frozen or has a slow
+        clock can't extend it with its commit."""
         reserve = rig.reserve(1, answer=500, time_limit_s=60.0)
         async with rig.stream() as stream:
             await rig.reserved(stream, reserve)
@@ -75,7 +75,7 @@
 
 
 class TestEngineFailures:
-    async def test_engine_dies_amid_the_run(self, autojump_clock, rig):
+    async def test_engine_dies_during_the_run(self, autojump_clock, rig):
         reserve = rig.reserve(1, answer=500)
         async with rig.stream() as stream:
             await rig.begin(stream, reserve)
@@ -88,36 +88,36 @@
             await stream.send(rig.reserve(2))
             assert (await stream.receive()).code == "no-replica"
         rig.model.revive()
-        await settled(rig, 6)
+        await check_memory_after(rig, 6)
         assert (await rig.run(rig.reserve(3))).end.outcome == "completed"
 
-    async def test_engine_that_never_got_it_is_proof(self, autojump_clock, rig):
+    async def test_run_that_never_reached_the_engine_is_not_run(self, autojump_clock, rig):
         rig.engine.faults.unsent = 1
         reserve = rig.reserve(1)
         end = (await rig.run(reserve)).end
         assert (end.outcome, end.code) == ("not_run", "no-replica")
         assert rig.executions(1) == 0
-        await settled(rig)
+        await check_memory_after(rig)
 
     async def test_lost_answer_to_the_start_is_unknown(self, autojump_clock, rig):
-        """The engine got the run and the connection broke before its first word. Nobody can tell
-        whether it began; it is said so, and its memory comes back."""
+        """The engine received the run, but the connection failed before its first output. Whether
+        it started is unknown and reported as such, and its memory is freed."""
         rig.engine.faults.lost = 1
         end = (await rig.run(rig.reserve(1))).end
         assert (end.outcome, end.code) == ("unknown", "outcome-unknown")
-        await settled(rig)
+        await check_memory_after(rig)
 
     async def test_answer_without_end_mark_is_a_failure(self, autojump_clock, rig):
-        """The engine closes its answer as if it were whole, without usage or end mark. The caller
-        must not take a part for the whole."""
+        """The engine closes its answer cleanly but without usage or end mark. The caller must not
+        take the truncated answer for a complete one."""
         rig.model.ends_without_mark = True
         end = (await rig.run(rig.reserve(1))).end
         assert (end.outcome, end.code) == ("failed", "backend-failed")
-        await settled(rig)
+        await check_memory_after(rig)
 
-    async def test_unconfirmed_cancel_is_made_up_for(self, autojump_clock, rig):
-        """The connection breaks amid a run and the cancellation doesn't get through either. The
-        engine goes on; the ledger keeps counting until the sweep has the engine's word."""
+    async def test_unconfirmed_cancel_is_freed_by_the_sweep(self, autojump_clock, rig):
+        """The connection fails during a run, and so does the cancellation. The engine continues;
+        the ledger keeps the blocks counted until the sweep has confirmed that they are free."""
         rig.engine.faults.cut_after_chunks = 2
         reserve = rig.reserve(1, answer=5000)
         async with rig.stream() as stream:
@@ -127,23 +127,23 @@
             end = (await rig.answer(stream)).end
         assert end.outcome == "failed"
         assert rig.service.ledger.held_blocks > 0
-        await settled(rig, 6)
+        await check_memory_after(rig, 6)
 
     async def test_restarted_engine_starts_an_empty_ledger(self, autojump_clock, rig):
-        """The engine restarts unnoticed while a run's connection hangs. The old life's holds are
-        gone with it: new work must not wait for memory that nobody holds."""
+        """The engine restarts while a run's connection hangs. The holds of the old incarnation are
+        lost with it, and new work must not wait for memory that is no longer held."""
         async with rig.stream() as stream:
             await rig.begin(stream, rig.reserve(1, answer=3_000))
             await trio.sleep(1.5)
-            rig.model._begin_life()  # No run is told: its connection hangs.
+            rig.model._begin_life()  # The run is not notified: its connection hangs.
             end = (await rig.answer(stream)).end
             assert trio.current_time() < 4
         assert (end.outcome, end.detail) == ("failed", "the engine restarted")
         rig.check_memory()
 
-    async def test_leftovers_of_an_earlier_life_are_freed(self, autojump_clock, rig):
-        """The sidecar dies with a long run on the engine. The next life finds a stream that no
-        one reads and frees it before it takes new work."""
+    async def test_streams_of_an_earlier_incarnation_are_freed(self, autojump_clock, rig):
+        """The sidecar is killed with a long run on the engine. The next incarnation finds the
+        orphaned stream and frees it before accepting new work."""
         async with rig.stream() as stream:
             await rig.begin(stream, rig.reserve(1, tokens=40_000, answer=8_000))
             await stream.receive()
@@ -153,27 +153,27 @@
         rig.check_memory()
 
     async def test_unfetched_export_is_freed(self, autojump_clock, rig):
-        """An export is made for a transfer that never comes; nobody will ever name its handle."""
+        """An export is made for a transfer that never happens, so its handle is never used."""
         rig.service.ledger.hold_export("export-1", 10, trio.current_time(), 20.0)
         rig.model.exports.add("export-1", "export", rig.model._hold_or_refuse([], 10), 160)
         await trio.sleep(15)
         assert rig.model.memory.free_blocks == rig.model.shape.total_blocks - 10
-        await settled(rig, 12)
+        await check_memory_after(rig, 12)
 
 
-class TestHistories:
-    """Promise: no engine loses memory permanently."""
+class TestRandomHistories:
+    """Guarantee: no engine loses memory permanently."""
 
     @pytest.mark.parametrize("seed", range(2))
     async def test_ledger_agrees_with_the_engine(self, autojump_clock, make_rig, seed):
-        """Hundreds of requests meet cuts, cancels, lost answers, frozen and dead engines
-        in random order. After the dust has settled the engine's own count is what it was, and no
-        booking was started twice."""
+        """Hundreds of requests run while link cuts, cancellations, lost answers and engine freezes
+        and crashes occur in random order. Afterwards all memory is free, according to the ledger
+        and to the engine, and no request was started twice."""
         rig = await make_rig(EngineShape(total_blocks=256, event_gap_share=0.0))
         random = Random(seed)
         async with trio.open_nursery() as nursery:
             for number in range(1, 601):
-                nursery.start_soon(_history, rig, random, number)
+                nursery.start_soon(_run_history, rig, random, number)
             for _ in range(40):
                 await trio.sleep(random.uniform(0.1, 1.0))
                 await _disturb(rig, random)
@@ -203,7 +203,7 @@
         rig.model.thaw()
 
 
-async def _history(rig, random, number):
+async def _run_history(rig, random, number):
     await trio.sleep(random.uniform(0, 25))
     reserve = rig.reserve(
         number,
--- a/packages/sidecar/tests/test_service.py
+++ b/packages/sidecar/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Leaving, stopping and reporting."""
+"""Leaving, stopping and load reports."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class TestLeaving:
-    """Promise: a backend server that is leaving receives no new work after a few seconds."""
+    """Guarantee: a backend server that is leaving receives no new work after a few seconds."""
 
-    @pytest.mark.parametrize("word", ["VM list", "signal"])
-    async def test_refuses_at_once_and_honours_what_is_reserved(self, autojump_clock, rig, word):
-        """An entry has not heard that the VM leaves and asks on. It is refused here; what it had
-        reserved before is still run to its end."""
+    @pytest.mark.parametrize("source", ["VM list", "signal"])
+    async def test_refuses_new_and_completes_reserved_attempts(self, autojump_clock, rig, source):
+        """An entry that doesn't know yet that the VM is leaving sends another reserve, which is
+        refused. Its earlier reservation still runs to completion."""
         reserve = rig.reserve(1)
         async with rig.stream() as stream, rig.stream() as other:
             await rig.reserved(stream, reserve)
-            if word == "signal":
+            if source == "signal":
                 rig.kernel.request_stop()
             else:
                 rig.vm_list.put(rig.state._replace(leaving=True))
@@ -29,7 +29,7 @@
             await rig.commit(stream, reserve)
             assert (await rig.answer(stream)).end.outcome == "completed"
 
-    async def test_entries_are_told_at_once(self, autojump_clock, rig):
+    async def test_entries_are_notified_immediately(self, autojump_clock, rig):
         reports = []
 
         async def note(peer, report):
@@ -49,11 +49,11 @@
 
 
 class TestStopping:
-    """Promise: a graceful shutdown cuts off no request in progress."""
+    """Guarantee: a graceful shutdown interrupts no request in progress."""
 
-    async def test_stop_under_load_cuts_nothing_off(self, autojump_clock, rig):
-        """SIGTERM comes while dozens of answers stream and more wait in the queue; every caller
-        still gets the whole answer."""
+    async def test_stop_under_load_interrupts_nothing(self, autojump_clock, rig):
+        """SIGTERM arrives while dozens of answers are streamed and more attempts are queued. Every
+        caller still gets a complete answer."""
         results = []
 
         async def run(number):
@@ -66,9 +66,9 @@
             rig.kernel.request_stop()
         assert [(r.end.outcome, r.tokens) for r in results] == [("completed", 100)] * 60
 
-    async def test_second_signal_bounds_the_wait(self, autojump_clock, make_rig):
-        """A second SIGTERM comes while a long answer runs: it is ended after the short limit, with
-        an end mark for its reader and its memory freed on the engine."""
+    async def test_second_signal_shortens_the_wait(self, autojump_clock, make_rig):
+        """A second SIGTERM arrives during a long run. The run is ended after the short limit, its
+        reader gets an end mark and its memory on the engine is freed."""
         rig = await make_rig(hurried_stop_limit_s=3.0)
         async with rig.stream() as stream:
             await rig.begin(stream, rig.reserve(1, answer=15_000))
@@ -83,15 +83,15 @@
         await trio.sleep(1)
         assert rig.model.memory.free_blocks == rig.model.shape.total_blocks
 
-    async def test_idle_sidecar_stops_at_once(self, autojump_clock, rig):
+    async def test_idle_sidecar_stops_immediately(self, autojump_clock, rig):
         await rig.query(rig.reserve(1))
         rig.kernel.request_stop()
         await trio.sleep(1)
         assert "ProcessStopped" in [record["name"] for record in rig.kernel.events.records()]
 
-    async def test_answer_that_lost_its_link_can_still_be_fetched(self, autojump_clock, rig):
-        """SIGTERM comes, the link of a running booking is cut, and the run ends a moment later.
-        The answer lives only here: the sidecar waits until the entry has come back for it."""
+    async def test_answer_can_be_fetched_after_its_link_was_cut(self, autojump_clock, rig):
+        """After SIGTERM, the link of a running attempt is cut and the run ends shortly afterwards.
+        The answer exists only here, so the sidecar waits for the entry to fetch it."""
         reserve = rig.reserve(1, answer=100)
         with pytest.raises(LinkCut):
             async with rig.stream() as stream:
