--- a/packages/entry/src/sassafrastally/entry/admin.py
+++ b/packages/entry/src/sassafrastally/entry/admin.py
@@ -1,7 +1,7 @@
-"""The administration interface: what operators ask and order over HTTP.
+"""HTTP interface for operators: status, events, metrics and bundle management.
 
-Every route needs a bearer token. Private keys stay with operators: signatures and heads arrive
-signed and are verified here.
+Every route requires a bearer token. Private keys stay with the operators: signatures and heads are
+signed by the client and verified here.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 ROLES = ("entry", "sidecar")
 
 MAX_DOCUMENT_BYTES = 16_000_000
-"""Longest bundle document that is taken."""
+"""Largest bundle document that is accepted."""
 
 BEARER = "Bearer "
 
@@ -59,22 +59,22 @@
     (KvUnavailable, 503),
     (CodedError, 400),
 )
-"""HTTP status for an error that ends a call; the first that fits."""
+"""HTTP status for each error class; the first matching entry applies."""
 
 
 @section("admin", "entry")
 class AdminSettings(NamedTuple):
-    """The administration interface; without a token nobody is let in."""
+    """The administration interface; without token digests every call is rejected."""
 
     listen_address: Address = Address("127.0.0.1", 0)
-    """Where operators reach this entry; not for callers."""
+    """Address to listen on for operators; not for callers."""
     token_digests: tuple[str, ...] = ()
     """SHA-256 of each operator's token, 64 hexadecimal digits."""
 
 
 @event(6801)
 class AdminListening(NamedTuple):
-    """Operators are accepted."""
+    """The administration interface accepts connections."""
 
     address: str
 
@@ -88,7 +88,7 @@
 
 @error(6801)
 class AdminBodyInvalid(CodedError):
-    """The body of a call to the administration interface isn't what the route takes."""
+    """The body of a call to the administration interface is invalid for the route."""
 
 
 class AdminHttpService(Service):
@@ -97,9 +97,9 @@
     Parameters
     ----------
     settings
-        Where to listen and whom to let in.
+        Listen address and digests of the accepted tokens.
     bundle_settings
-        Whose signatures count.
+        Trusted signers of bundles.
     """
 
     name: ClassVar[str] = "admin-http"
@@ -112,17 +112,17 @@
 
     @property
     def bound_address(self) -> Address:
-        """Address at which operators are accepted; known after the start."""
+        """Address that the server is bound to; available after `start`."""
         return self._server.bound_address
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Accept operators."""
+        """Start the HTTP server."""
         self._server = AsgiServer(self._make_app(), self._settings.listen_address, ServerBounds())
         await nursery.start(self._server.run)
         self.kernel.events.emit(AdminListening(str(self.bound_address)))
 
     async def stop(self) -> None:
-        """Close after the calls in progress."""
+        """Close the server once the calls in progress have ended."""
         await self._server.close()
 
     @property
@@ -150,8 +150,8 @@
     async def _authenticate(self) -> Response | None:
         header = request.headers.get("Authorization", "")
         digest = hashlib.sha256(header.removeprefix(BEARER).encode()).hexdigest()
-        known = [hmac.compare_digest(digest, item) for item in self._settings.token_digests]
-        if header.startswith(BEARER) and any(known):
+        matches = [hmac.compare_digest(digest, item) for item in self._settings.token_digests]
+        if header.startswith(BEARER) and any(matches):
             return None
         self.kernel.events.emit(AdminTurnedAway(request.path))
         body = json.dumps({"title": "Unauthorized", "detail": "The token is missing or wrong."})
@@ -171,9 +171,9 @@
         if request_id := request.args.get("request_id"):
             where["request_id"] = request_id
         if generation := request.args.get("generation"):
-            where["generation"] = _number(generation)
-        wanted = request.args.get("vm")
-        states = [state for state in self._states() if wanted in (None, state.vm)]
+            where["generation"] = _parse_int(generation)
+        wanted_vm = request.args.get("vm")
+        states = [state for state in self._states() if wanted_vm in (None, state.vm)]
         answers = await self._admin.ask_all(states, "events", {"where": where})
         bodies = [answer.body for answer in answers if answer.body is not None]
         return {
@@ -183,7 +183,7 @@
         }
 
     async def _metrics(self) -> Response:
-        """Give one process's figures: ``?vm=NAME``, this entry's by default."""
+        """Return the metrics of one process, ``?vm=NAME``; by default those of this entry."""
         vm = request.args.get("vm", self.kernel.vm)
         state = next((state for state in self._states() if state.vm == vm), None)
         if vm == self.kernel.vm:
@@ -191,7 +191,7 @@
         elif state is not None:
             answer = await self._admin.ask(state, "metrics", {})
         else:
-            raise AdminBodyInvalid(f"the VM list has no {vm!r}")
+            raise AdminBodyInvalid(f"VM {vm!r} isn't in the VM list")
         if answer.body is None:
             return Response(answer.problem, BAD_GATEWAY, content_type=TEXT)
         return Response(answer.body["text"], content_type=TEXT)
@@ -225,8 +225,8 @@
     async def _roll(self) -> Body:
         head = decode_head(cast("bytes", await request.get_data(as_text=False)))
         result = await submit_head(self._kv, head, self._bundle_settings)
-        # Taken here at once: if the KV service went down now, before any watch has reported the
-        # head, nobody but it would know the accepted bundle.
+        # Apply the head locally at once. If the KV service went down before a watch had reported
+        # the head, no process would know the accepted bundle.
         self.kernel.get("bundle", BundleService).on_kv_head(encode_head(result.head))
         return cast("Body", operations.plain(result))
 
@@ -264,11 +264,11 @@
         raise AdminBodyInvalid("the body must be UTF-8 text") from cause
 
 
-def _number(text: str) -> int:
+def _parse_int(text: str) -> int:
     try:
         return int(text)
     except ValueError as cause:
-        raise AdminBodyInvalid(f"must be a number, not {text!r}") from cause
+        raise AdminBodyInvalid(f"generation must be an integer, not {text!r}") from cause
 
 
 def _problem(failure: CodedError) -> tuple[Body, int]:
--- a/packages/entry/src/sassafrastally/entry/assemble.py
+++ b/packages/entry/src/sassafrastally/entry/assemble.py
@@ -1,4 +1,4 @@
-"""Puts an entry process together."""
+"""Assembles the services of an entry process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sassafrastally.entry.http import HttpService
 from sassafrastally.entry.path import RequestPath
 from sassafrastally.entry.settings import EntrySettings, HttpSettings
-from sassafrastally.serving import policies  # noqa: F401 - fills the registry of policies
+from sassafrastally.serving import policies  # noqa: F401 - registers the policies
 from sassafrastally.serving.claim_layout import ClaimSettings
 from sassafrastally.serving.claims import ClaimService
 from sassafrastally.serving.limits import LimitService
@@ -25,14 +25,14 @@
 
 
 def build_entry(settings: Settings, around: Surroundings) -> Kernel:
-    """Return the kernel of an entry that serves callers over HTTP, ready to run.
+    """Return a kernel for an entry that serves callers over HTTP, ready to run.
 
     Parameters
     ----------
     settings
-        Checked settings of the role ``entry``.
+        Validated settings of the role ``entry``.
     around
-        What the process stands on.
+        External dependencies of the process, such as network and clock.
     """
     kernel = build_path(settings, around)
     bundle_settings = settings.get(BundleSettings)
@@ -42,7 +42,7 @@
 
 
 def build_path(settings: Settings, around: Surroundings) -> Kernel:
-    """Return the kernel of an entry without its HTTP servers, for tests on the mock clock.
+    """Return a kernel for an entry without its HTTP servers, for tests with a mock clock.
 
     The parameters are those of `build_entry`.
     """
--- a/packages/entry/src/sassafrastally/entry/attempt.py
+++ b/packages/entry/src/sassafrastally/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: reserve on a sidecar, commit, relay the answer; ask again after a cut."""
+"""One attempt: reserve on a sidecar, commit, relay the answer and reattach after a lost link."""
 
 from __future__ import annotations
 
@@ -37,62 +37,64 @@
     from sassafrastally.wire.link import Link, Peers, Stream
 
 CANCEL_LIMIT_S = 1.0
-"""Bound of the shield round the message that gives an attempt up."""
+"""Time limit of the shielded send that cancels an attempt."""
 
 _STATUS_OK = 200
 
 
-class Whole(NamedTuple):
-    """The whole answer came; its end is proved."""
+class Completed(NamedTuple):
+    """The complete answer arrived, confirmed by its end mark."""
 
     end: End
 
 
-class TurnedDown(NamedTuple):
-    """Proved: the attempt hasn't run and never will."""
+class Rejected(NamedTuple):
+    """The attempt is proved not to have run and never to run."""
 
     refused: Refused
 
 
-class Unreached(NamedTuple):
-    """The sidecar wasn't reached, or contact was lost before anything was committed."""
+class Unreachable(NamedTuple):
+    """The sidecar wasn't reached, or its link was lost before the commit."""
 
     cause: str
 
 
 class Failed(NamedTuple):
-    """It ran and gave no whole answer, or its end is not known."""
+    """The attempt ran without a complete answer, or how it ended is unknown."""
 
     end: End
     is_adopted: bool = False
-    """Whether it was the run of another request of the same key."""
+    """Whether the run belongs to another request with the same key."""
 
 
-class Lost(NamedTuple):
-    """It was committed and contact was lost, or its answer broke the protocol."""
+class ContactLost(NamedTuple):
+    """The link was lost after the commit, or the answer violated the protocol."""
 
     cause: str
-    is_broken: bool = False
-    """Whether the answer broke the protocol."""
+    is_protocol_error: bool = False
+    """Whether the answer violated the protocol."""
 
 
-class Gone(NamedTuple):
-    """The incarnation that had it is gone: nobody can tell what became of it."""
+class IncarnationGone(NamedTuple):
+    """The incarnation that held the attempt is gone, so its outcome can't be determined."""
 
     vm: str
 
 
-class Elsewhere(NamedTuple):
-    """The idempotency key belongs to another placement; the reservation here is released."""
+class KeyOwnedElsewhere(NamedTuple):
+    """Another placement owns the idempotency key; the reservation of this attempt is released."""
 
     owner: Placement
 
 
-AttemptResult: TypeAlias = Whole | TurnedDown | Unreached | Failed | Lost | Gone | Elsewhere
+AttemptResult: TypeAlias = (
+    Completed | Rejected | Unreachable | Failed | ContactLost | IncarnationGone | KeyOwnedElsewhere
+)
 
 
 class AttemptPlan(NamedTuple):
-    """What one attempt is to do."""
+    """Parameters of one attempt."""
 
     request: CallerRequest
     request_id: str
@@ -105,7 +107,7 @@
     reserve_timeout_s: float
     max_answer_bytes: int
     max_wait_s: float = 0.0
-    """How long other work there may delay the first token; 0 is any time."""
+    """Longest delay of the first token by other work on the sidecar; 0 means no limit."""
 
 
 class Attempt:
@@ -114,13 +116,13 @@
     Parameters
     ----------
     plan
-        What to do and where.
+        Parameters of the attempt.
     peers
         The links of the process.
     answer
-        Where the data goes.
+        Receives the data.
     claim
-        Claim of the idempotency key; ``None`` when there is none.
+        Claim of the idempotency key; ``None`` without a key.
     """
 
     def __init__(
@@ -131,44 +133,44 @@
         self.is_committed = False
         """Whether a commit may have reached the sidecar."""
         self.has_data = False
-        """Whether any part of an answer came: it certainly ran."""
+        """Whether any part of an answer arrived, which proves that the attempt ran."""
         self._peers = peers
         self._answer = answer
         self._claim = claim
-        self._order = ChunkOrder(plan.request_id, plan.number)
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._chunk_order = ChunkOrder(plan.request_id, plan.number)
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
         self._is_settled = False
         self._is_adopted = False
 
     @property
     def is_adopted(self) -> bool:
-        """Whether it belongs to another request of the same key, and is only read here."""
+        """Whether the run belongs to another request with the same key and is only read here."""
         return self._is_adopted
 
     async def run(self) -> AttemptResult:
-        """Reserve, commit and relay."""
+        """Reserve, commit and relay the answer."""
         try:
             link = await self._peers.link_to(self.plan.vm, self.plan.address)
             async with link.open_stream() as stream:
-                return await self._settled(stream, self._reserve_and_run(stream))
+                return await self._run_or_cancel(stream, self._reserve_and_run(stream))
         except (LinkRefused, TooManyStreams) as cause:
-            return Unreached(cause.detail)
+            return Unreachable(cause.detail)
         except (LinkCut, StreamEnded) as cause:
             return self._after_cut(cause)
 
     async def query(self, *, void_if_uncommitted: bool) -> AttemptState | None:
-        """Ask the incarnation what became of the attempt.
+        """Ask the incarnation for the state of the attempt.
 
         Parameters
         ----------
         void_if_uncommitted
-            Whether an attempt that wasn't committed is to be made void there, for good.
+            Whether the sidecar permanently voids the attempt if it isn't committed.
 
         Returns
         -------
         AttemptState | None
-            ``None`` when it can't be reached.
+            ``None`` if the sidecar can't be reached.
         """
         site = self.site
         question = Query(site.request_id, site.attempt, site.incarnation, void_if_uncommitted)
@@ -185,62 +187,62 @@
         return AttemptState(reply.state) if is_own and isinstance(reply, QueryReply) else None
 
     async def attach(self) -> AttemptResult:
-        """Join the committed attempt again, from the chunk after the last one that came."""
+        """Reattach to the committed attempt, from the chunk after the last one received."""
         site = self.site
         message = Attach(
             site.request_id,
             site.attempt,
             site.incarnation,
-            self._order.next_sequence,
+            self._chunk_order.next_sequence,
             self._time_left_s(),
         )
         try:
             link: Link = await self._peers.link_to(site.vm, site.address)
             async with link.open_stream() as stream:
                 await stream.send(message)
-                result = await self._settled(stream, self._read_answer(stream))
+                result = await self._run_or_cancel(stream, self._read_answer(stream))
         except (LinkRefused, LinkCut, StreamEnded, TooManyStreams) as cause:
-            return Lost(cause.detail)
-        if isinstance(result, TurnedDown) and result.refused.code:
-            # Refused is the joining, not the attempt: it proves nothing about the run.
-            return Lost(f"not joined: {result.refused.detail}")
+            return ContactLost(cause.detail)
+        if isinstance(result, Rejected) and result.refused.code:
+            # The attach was refused, not the attempt: this proves nothing about the run.
+            return ContactLost(f"not joined: {result.refused.detail}")
         return result
 
     def adopt(self, site: Site) -> None:
-        """Become the reader of an attempt that another request of the same key committed."""
+        """Switch to reading an attempt that another request with the same key committed."""
         self.site = site
         self.is_committed = True
         self._is_adopted = True
-        self._order = ChunkOrder(site.request_id, site.attempt)
+        self._chunk_order = ChunkOrder(site.request_id, site.attempt)
 
-    async def _settled(
+    async def _run_or_cancel(
         self, stream: Stream, work: Coroutine[Any, Any, AttemptResult]
     ) -> AttemptResult:
-        """Run the conversation; on every way out that leaves the attempt open, cancel it.
+        """Run the exchange, and cancel the attempt on every exit that leaves it open.
 
-        A time limit, a caller that went away or a claim that failed would otherwise leave a
-        reservation or a run holding the engine's memory until it lapses by itself.
+        Otherwise, after a time limit, a disconnect of the caller or a failed claim, the
+        reservation or run would hold engine memory until it expires.
         """
         self._is_settled = False
         try:
             result = await work
-            self._is_settled = not isinstance(result, Elsewhere | Unreached | Lost)
+            self._is_settled = not isinstance(result, KeyOwnedElsewhere | Unreachable | ContactLost)
             return result
         finally:
-            if not (self._is_settled or self._runs_on()):
-                await self._give_up(stream)
+            if not (self._is_settled or self._continues_without_reader()):
+                await self._send_cancel(stream)
 
-    def _runs_on(self) -> bool:
-        """Return whether the run goes on without this reader.
+    def _continues_without_reader(self) -> bool:
+        """Return whether the run continues without this reader.
 
         A caller that lost its connection repeats the request with its key and is attached to the
-        first run. A cancel sent for the lost connection, or by one of two readers of the same
-        run, would turn that repeat into a failure.
+        first run. A cancel after the lost connection, or by one of two readers of the same run,
+        would make the repeated request fail.
         """
         has_claim = bool(self.plan.request.key) and self.is_committed
         return self._is_adopted or (has_claim and self._time_left_s() > 0)
 
-    async def _give_up(self, stream: Stream) -> None:
+    async def _send_cancel(self, stream: Stream) -> None:
         with trio.move_on_after(CANCEL_LIMIT_S, shield=True):
             try:
                 await stream.send(Cancel(self.site.request_id, self.site.attempt, "given up"))
@@ -257,19 +259,19 @@
         with trio.move_on_after(self.plan.reserve_timeout_s):
             answered = await self._receive_reserved(stream)
         if answered is None:
-            return Unreached(f"no reservation within {self.plan.reserve_timeout_s:g} s")
+            return Unreachable(f"no reservation within {self.plan.reserve_timeout_s:g} s")
         if isinstance(answered, Refused):
             return self._after_refusal(answered)
         self.site = self.site._replace(incarnation=answered.incarnation)
         if self._claim is not None:
-            # Taken while the reservation stands: a claim that outlives it would be followed by a
-            # commit that the sidecar refuses.
+            # The claim must complete before the reservation expires; otherwise the sidecar refuses
+            # the commit that follows.
             limit_s = min(self._time_left_s(), answered.lapse_s)
-            owner = await self._claim.take(self.site, limit_s, self.plan.shown_tokens)
+            owner = await self._claim.acquire(self.site, limit_s, self.plan.shown_tokens)
             if owner is not None:
-                return Elsewhere(owner)
-        # From here on a cut leaves it open whether the commit arrived, so this comes before the
-        # send: an exception of the send itself must already count as committed.
+                return KeyOwnedElsewhere(owner)
+        # If the link is lost from here on, it is unknown whether the commit arrived. The flag is
+        # set before the send so that an exception from the send also counts as committed.
         self.is_committed = True
         site = self.site
         await stream.send(
@@ -284,8 +286,11 @@
                 return message
 
     async def _send_and_read(self, stream: Stream) -> AttemptResult:
-        """Send the body and read the answer at once: a refusal may come while a long body waits
-        for credit that the sidecar no longer gives."""
+        """Send the body and read the answer concurrently.
+
+        A refusal may arrive while a long body is blocked on flow-control credit that the sidecar
+        no longer grants.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_body, stream)
             try:
@@ -302,28 +307,28 @@
                 part = body[start : start + MAX_CHUNK_BYTES]
                 await stream.send(Chunk(plan.request_id, plan.number, sequence, 0, part))
         except (LinkCut, StreamEnded):
-            # The reader of the same stream meets the cut too and decides what it means.
+            # The reader of the same stream gets the same error and handles it.
             return
 
     async def _read_answer(self, stream: Stream) -> AttemptResult:
         while True:
             for message in await stream.receive_ready():
                 try:
-                    result = await self._take(message)
+                    result = await self._handle_message(message)
                 except AnswerBroken as cause:
-                    return Lost(cause.detail, is_broken=True)
+                    return ContactLost(cause.detail, is_protocol_error=True)
                 if result is not None:
                     return result
 
-    async def _take(self, message: object) -> AttemptResult | None:
+    async def _handle_message(self, message: object) -> AttemptResult | None:
         match message:
-            case Chunk() if self._order.accepts(message):
+            case Chunk() if self._chunk_order.accepts(message):
                 await self._relay(message)
             case Reserved() if self._is_own(message):
                 self.site = self.site._replace(incarnation=message.incarnation)
             case Refused() if self._is_own(message):
                 return self._after_refusal(message)
-            case End() if self._order.owns(message):
+            case End() if self._chunk_order.owns(message):
                 return self._conclude(message)
         return None
 
@@ -332,15 +337,15 @@
         if self.plan.request.is_streamed:
             await self._answer.put(chunk.data, chunk.tokens)
             return
-        self._held.append(chunk.data)
-        self._held_bytes += len(chunk.data)
-        if self._held_bytes > self.plan.max_answer_bytes:
+        self._buffered.append(chunk.data)
+        self._buffered_bytes += len(chunk.data)
+        if self._buffered_bytes > self.plan.max_answer_bytes:
             raise AnswerBroken(f"the answer is over {self.plan.max_answer_bytes} bytes")
 
     def _conclude(self, end: End) -> AttemptResult:
         if end.outcome == Outcome.NOT_RUN:
             detail = end.detail or "The backend server hasn't begun it."
-            return TurnedDown(
+            return Rejected(
                 Refused(
                     end.request_id,
                     end.attempt,
@@ -350,27 +355,27 @@
                 )
             )
         if end.outcome != Outcome.COMPLETED or end.code:
-            # A code beside "completed" says that the answer is no longer kept; its count of
-            # chunks is 0, and by the count alone it would pass as a whole, empty answer.
+            # "completed" with a code means that the answer is no longer kept. Its chunk count is
+            # 0, so by the count alone it would pass as a complete, empty answer.
             return Failed(end, self._is_adopted)
-        self._order.check_count(end)
+        self._chunk_order.check_count(end)
         is_streamed = self.plan.request.is_streamed
         status = end.status or _STATUS_OK
         content_type = end.content_type or (EVENT_STREAM if is_streamed else JSON)
-        self._answer.finish(end, Head(status, content_type), b"".join(self._held))
-        return Whole(end)
+        self._answer.finish(end, Head(status, content_type), b"".join(self._buffered))
+        return Completed(end)
 
     def _after_refusal(self, refused: Refused) -> AttemptResult:
         kind = REFUSALS.get(refused.code)
         if kind is None or kind.outcome is Outcome.NOT_RUN:
-            return TurnedDown(refused)
-        # A sidecar that has the attempt already, by a repeated reservation or commit, refuses the
-        # second one as unknown. Taken for "not run", a booking would be made once more elsewhere.
+            return Rejected(refused)
+        # A sidecar that already has the attempt refuses a repeated reservation or commit with
+        # outcome unknown. Treating that as "not run" would repeat a booking on another sidecar.
         self.is_committed = True
-        return Lost(refused.detail)
+        return ContactLost(refused.detail)
 
     def _after_cut(self, cause: CodedError) -> AttemptResult:
-        return Lost(cause.detail) if self.is_committed else Unreached(cause.detail)
+        return ContactLost(cause.detail) if self.is_committed else Unreachable(cause.detail)
 
     def _is_own(self, message: Reserved | Refused) -> bool:
         own = (self.site.request_id, self.site.attempt)
--- a/packages/entry/src/sassafrastally/entry/callers.py
+++ b/packages/entry/src/sassafrastally/entry/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: customers by the digests of their bearer keys."""
+"""Authentication of callers: finds customers by the digests of their bearer keys."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Callers:
-    """Finds the customer of a key in the bundle in force.
+    """Finds the customer that a key belongs to, in the bundle in force.
 
-    The index is made anew with each generation, so that a key that a roll takes away is refused
-    from the next request on.
+    The index is rebuilt for each generation, so that a key removed by a roll is rejected from the
+    next request on.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         Raises
         ------
         Refusal
-            ``unknown-customer`` when there is none.
+            ``unknown-customer`` if there is none.
         """
         if in_force.generation != self._generation:
             self._by_digest = {
@@ -40,7 +40,7 @@
             }
             self._generation = in_force.generation
         scheme, _, key = (authorization or "").partition(" ")
-        # Keys are looked up by digest: what the comparison's time tells is of no use to a caller.
+        # Keys are looked up by digest, so the timing of the lookup reveals nothing useful.
         found = self._by_digest.get(sha256(key.strip().encode()).hexdigest())
         if scheme.lower() != _SCHEME or found is None:
             raise Refusal("unknown-customer")
--- a/packages/entry/src/sassafrastally/entry/candidates.py
+++ b/packages/entry/src/sassafrastally/entry/candidates.py
@@ -1,4 +1,4 @@
-"""Which sidecars could serve a request, as the entry sees them."""
+"""Candidates for a request: the sidecars that can serve it according to their load reports."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     from sassafrastally.entry.request import CallerRequest
 
 VERSION_MARK = "@"
-"""Stands between name and version of a loaded model."""
+"""Separates the name and the version of a loaded model."""
 
 
 class Reachable(NamedTuple):
-    """A candidate and where it takes links."""
+    """A candidate and the address that it accepts links on."""
 
     candidate: Candidate
     address: Address
 
 
 class _InFlight:
-    """Attempts of this entry on one sidecar."""
+    """In-flight attempts of this entry on one sidecar."""
 
     __slots__ = ("attempts", "tokens")
 
@@ -39,15 +39,15 @@
 
 
 class Candidates:
-    """Builds the candidates for requests and counts the entry's own attempts on them.
+    """Builds the candidates for requests and counts the entry's in-flight attempts on them.
 
-    A report lags, so an entry that saw a free sidecar would send it a burst before the next
-    report; the count of its own attempts in flight holds that back.
+    Load reports lag. Without the count of its own in-flight attempts, an entry would send a burst
+    to an idle sidecar before the next report.
 
     Parameters
     ----------
     membership
-        Where the load reports are.
+        Source of the load reports.
     data_centre
         The entry's own data centre.
     """
@@ -60,7 +60,7 @@
     def for_request(
         self, request: CallerRequest, weights: Weights, now_s: float
     ) -> dict[str, Reachable]:
-        """Return the sidecars that say they serve the target and aren't leaving, by VM."""
+        """Return the sidecars that report serving the target and aren't leaving, by VM."""
         return {
             load.state.vm: Reachable(
                 self._candidate(load, request, weights, now_s), load.state.peer_address
@@ -70,13 +70,13 @@
         }
 
     def address_of(self, vm: str) -> Address | None:
-        """Return where a sidecar takes links; ``None`` when the VM list doesn't show it."""
+        """Return the address of a sidecar for links; ``None`` if it isn't in the VM list."""
         states = self._membership.vms("sidecar")
         return next((state.peer_address for state in states if state.vm == vm), None)
 
     @contextmanager
     def in_flight(self, vm: str, tokens: int) -> Iterator[None]:
-        """Count an attempt on a sidecar while the context lasts."""
+        """Count an attempt as in flight on a sidecar for the duration of the context."""
         counted = self._in_flight[vm]
         counted.attempts += 1
         counted.tokens += tokens
@@ -120,6 +120,6 @@
 
 
 def _first_token_s(by_lane: tuple[float, ...], prompt_tokens: int, weights: Weights) -> float:
-    """Return the report's prediction for the lane of a prompt; 0 when it has none."""
+    """Return the predicted time to first token for a prompt's lane; 0 if not reported."""
     lane = lane_of(prompt_tokens, weights)
     return by_lane[lane] if lane < len(by_lane) else 0.0
--- a/packages/entry/src/sassafrastally/entry/claiming.py
+++ b/packages/entry/src/sassafrastally/entry/claiming.py
@@ -1,4 +1,4 @@
-"""The idempotency key of one request: claimed between reservation and commit."""
+"""Claims on idempotency keys: a request claims its key between reservation and commit."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 EARLIER_MAY_HAVE_RUN = "This request has not run; an earlier one with its idempotency key may have."
 
 MAX_REPLACEMENTS = 8
-"""Owners proved void that one claim takes the key from, one after the other."""
+"""How many owners whose attempts were voided one claim may replace, one after another."""
 
 
 class Claims(Protocol):
-    """What the request path uses of `sassafrastally.serving.claims.ClaimService`."""
+    """The methods of `sassafrastally.serving.claims.ClaimService` that the request path uses."""
 
     async def claim(
         self, customer: str, key: str, body_digest: bytes, placement: Placement, time_limit_s: float
@@ -44,23 +44,23 @@
         body_digest: bytes,
         time_limit_s: float,
     ) -> ClaimResult:
-        """Take a key from a placement that never runs."""
+        """Transfer a key from a placement that will never run to a new one."""
         ...
 
     async def lookup(self, customer: str, key: str, body_digest: bytes) -> ClaimResult:
-        """Return who holds a key; raises `Refusal` when that isn't known."""
+        """Return the owner of a key; raise `Refusal` if it can't be determined."""
         ...
 
 
 class KeyClaim:
-    """Claims the key of one request for one attempt after the other.
+    """Claims the idempotency key of one request for its successive attempts.
 
     Parameters
     ----------
     claims
-        The service that keeps the claims.
+        The service that stores the claims.
     request
-        The request; it has a key.
+        The request; it must have a key.
     """
 
     def __init__(self, claims: Claims, request: CallerRequest) -> None:
@@ -70,12 +70,15 @@
         self._replaceable: set[Placement] = set()
 
     def release(self, site: Site) -> None:
-        """Note that a site may be replaced as owner: it is proved that it doesn't run, or the
-        request may be repeated and this one gave the site up."""
+        """Mark a site as replaceable in its role as owner of the key.
+
+        Either the attempt is proved not to run, or the request is idempotent and has abandoned
+        the site.
+        """
         self._replaceable.add(_placement(site))
 
     async def earlier_may_have_run(self, request_id: str) -> bool:
-        """Return whether another request of the key may have run; not known counts as yes."""
+        """Return whether another request with the key may have run; ``True`` if unknown."""
         request = self._request
         try:
             result = await self._claims.lookup(request.customer.name, request.key, self._digest)
@@ -87,33 +90,34 @@
         return not is_own and result.placement not in self._replaceable
 
     def _can_join(self, owner: Placement, shown_tokens: int) -> bool:
-        """Return whether an owner's stream begins where this request's reader stands.
+        """Return whether an owner's stream starts at the position of this request's reader.
 
-        A later attempt goes on after the words that its own reader has seen. Joined by a reader
-        who has seen fewer, its tail would pass as a whole answer; by one who has seen more, words
-        would come twice. Such a request may be repeated, so it takes the key and runs by itself.
+        A retry resumes after the tokens that its own reader has received. A reader that has
+        received fewer would get only the tail as a complete answer, and one that has received more
+        would get tokens twice. Such a request is idempotent, so it takes over the key and runs
+        itself.
         """
         if not (self._request.is_idempotent and self._request.is_streamed):
             return True
         return owner.attempt == 1 and shown_tokens == 0
 
-    async def take(self, site: Site, limit_s: float, shown_tokens: int = 0) -> Placement | None:
+    async def acquire(self, site: Site, limit_s: float, shown_tokens: int = 0) -> Placement | None:
         """Claim the key for a site.
 
         Returns
         -------
         Placement | None
-            The owner when it is another one; ``None`` when the site has the key.
+            The owner if it is another one; ``None`` if the site now owns the key.
 
         Raises
         ------
         Refusal
-            When the key was used with another body, or can't be claimed now.
+            If the key was used with another body, or can't be claimed now.
         """
         own = _placement(site)
         request = self._request
         customer, key = request.customer.name, request.key
-        until_s = trio.current_time() + limit_s
+        deadline_s = trio.current_time() + limit_s
         result = await self._claims.claim(customer, key, self._digest, own, limit_s)
         for _ in range(MAX_REPLACEMENTS):
             if result.state is ClaimState.KEY_REUSED:
@@ -123,29 +127,29 @@
             owner = result.placement
             if owner not in self._replaceable and self._can_join(owner, shown_tokens):
                 return owner
-            left_s = max(0.0, until_s - trio.current_time())
+            left_s = max(0.0, deadline_s - trio.current_time())
             result = await self._claims.replace(customer, key, owner, own, self._digest, left_s)
         raise Refusal("claims-unavailable", Figures(detail="The key changes hands too often."))
 
 
-def uncertain_of_key(refusal: Refusal) -> Refusal:
-    """Return a refusal that says what is known when an earlier request of the key may have run."""
+def with_unknown_outcome(refusal: Refusal) -> Refusal:
+    """Return the refusal with outcome unknown: an earlier request with the key may have run."""
     detail = f"{refusal.figures.detail} {EARLIER_MAY_HAVE_RUN}".strip()
     return Refusal(refusal.kind.code, refusal.figures._replace(detail=detail), Outcome.UNKNOWN)
 
 
 @contextmanager
 def covering_unread_key(key: str | None) -> Iterator[None]:
-    """Turn "not run" into "unknown" for a request with a key that is refused unread.
+    """Change "not run" to "unknown" for requests with a key that are refused before its lookup.
 
-    The entry that stops or is full has no time to look its key up, and so can't rule out that an
-    earlier request of the key has run.
+    An entry that is stopping or overloaded doesn't look up the key, so it can't rule out that an
+    earlier request with the same key has run.
     """
     try:
         yield
     except Refusal as refusal:
         if key and refusal.outcome == Outcome.NOT_RUN:
-            raise uncertain_of_key(refusal) from refusal
+            raise with_unknown_outcome(refusal) from refusal
         raise
 
 
--- a/packages/entry/src/sassafrastally/entry/connection.py
+++ b/packages/entry/src/sassafrastally/entry/connection.py
@@ -1,4 +1,4 @@
-"""How the HTTP server runs one request of a caller."""
+"""ASGI connection and request classes of the callers' HTTP server."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class EntryRequest(TrioRequest):
-    """An HTTP request whose handler may hold contexts until its answer is sent."""
+    """An HTTP request whose handler may keep contexts open until its response is sent."""
 
     stack: AsyncExitStack
-    """Contexts that are left after the last byte, or when the caller is gone."""
+    """Contexts that are closed after the last byte is sent, or on disconnect."""
 
 
 class EntryConnection(TrioASGIHTTPConnection):
-    """Serves one HTTP request: the caller's disconnect cancels it."""
+    """Serves one HTTP request; a disconnect of the caller cancels it."""
 
     async def handle_request(  # type: ignore[override]
         self, nursery: trio.Nursery, request: EntryRequest, send: ASGISendCallable
     ) -> None:
-        """Run the handler and send its answer while the handler's contexts last."""
+        """Run the handler and send its response, then close the handler's contexts."""
         async with AsyncExitStack() as stack:
             request.stack = stack
             await super().handle_request(nursery, request, send)
--- a/packages/entry/src/sassafrastally/entry/events.py
+++ b/packages/entry/src/sassafrastally/entry/events.py
@@ -20,7 +20,7 @@
 
 @event(6002, "debug")
 class RequestEnded(NamedTuple):
-    """The whole answer of a request was given."""
+    """The complete answer of a request was delivered."""
 
     request_id: str
     attempts: int
@@ -30,7 +30,7 @@
 
 @event(6003)
 class RequestRefused(NamedTuple):
-    """A request was turned down or given up on."""
+    """A request was refused or abandoned by the entry."""
 
     request_id: str
     customer: str
@@ -43,7 +43,7 @@
 
 @event(6004)
 class AttemptCut(NamedTuple):
-    """Contact with a sidecar was lost, or its answer broke the protocol, in an attempt."""
+    """The link to a sidecar was lost, or its answer violated the protocol, during an attempt."""
 
     request_id: str
     attempt: int
@@ -54,7 +54,7 @@
 
 @event(6005)
 class AttemptResolved(NamedTuple):
-    """What became of an attempt after contact was lost, as far as it could be learned."""
+    """A sidecar reported the state of an attempt after its link was lost, or for a claimed key."""
 
     request_id: str
     attempt: int
@@ -64,7 +64,7 @@
 
 @event(6006)
 class AttemptRepeated(NamedTuple):
-    """Another attempt follows one that failed."""
+    """A request is retried after a failed attempt."""
 
     request_id: str
     attempt: int
@@ -74,7 +74,7 @@
 
 @event(6007, "debug")
 class AttemptRefused(NamedTuple):
-    """A sidecar refused an attempt; it hasn't run."""
+    """A sidecar refused an attempt; the attempt hasn't run."""
 
     request_id: str
     attempt: int
@@ -84,7 +84,7 @@
 
 @event(6008)
 class EntryDraining(NamedTuple):
-    """The entry was told to stop: it is not ready, but still serves new requests for a while."""
+    """The entry received a stop signal: it reports not ready but still accepts new requests."""
 
     open_requests: int
     drain_s: float
@@ -92,14 +92,14 @@
 
 @event(6009)
 class EntryClosed(NamedTuple):
-    """The entry takes no new requests and finishes those in progress."""
+    """The entry refuses new requests and finishes those in progress."""
 
     open_requests: int
 
 
 @event(6010, "warning")
 class EntryHurried(NamedTuple):
-    """A second signal to stop came: what isn't done within the limit is given up."""
+    """A second stop signal arrived: requests still in progress at the limit are cancelled."""
 
     open_requests: int
     stop_limit_s: float
@@ -107,7 +107,7 @@
 
 @event(6012)
 class RequestAbandoned(NamedTuple):
-    """The caller left before its answer was whole."""
+    """The caller disconnected before its answer was complete."""
 
     request_id: str
     outcome: str
--- a/packages/entry/src/sassafrastally/entry/execution.py
+++ b/packages/entry/src/sassafrastally/entry/execution.py
@@ -1,4 +1,4 @@
-"""The execution of one request: candidates, attempts, retries, and the truth after a cut."""
+"""Execute one request: candidates, attempts, retries and recovery after a lost connection."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     Attempt,
     AttemptPlan,
     AttemptResult,
-    Elsewhere,
+    Completed,
+    ContactLost,
     Failed,
-    Gone,
-    Lost,
-    TurnedDown,
-    Unreached,
-    Whole,
+    IncarnationGone,
+    KeyOwnedElsewhere,
+    Rejected,
+    Unreachable,
 )
 from sassafrastally.entry.events import (
     RETRIES,
@@ -49,35 +49,36 @@
     from sassafrastally.entry.span_try import MakeAttempt
 
 
-_PASSING = frozenset({"leaving", "no-replica"})
-"""Refusals of one sidecar that another or its successor lifts, so that coming back helps."""
+_TRANSIENT_CODES = frozenset({"leaving", "no-replica"})
+"""Refusals by one sidecar that another sidecar or its replacement may not give, so that the caller
+can retry later."""
 
 
 BUSY = "busy"
-"""Code of a sidecar's refusal to keep to the bound on the wait."""
+"""Refusal code of a sidecar that can't start the request within its wait limit (``max_wait_s``)."""
 
 
-class _History:
-    """What is known of earlier attempts: the worst that can be true of the request."""
+class _AttemptHistory:
+    """Earlier attempts of a request and the worst outcome that they can have had."""
 
     def __init__(self) -> None:
-        self.asked = 0
-        """Attempts, those refused included."""
-        self.begun = 0
-        """Attempts that may have run."""
+        self.started = 0
+        """Attempts started, including those that were refused."""
+        self.committed = 0
+        """Unsuccessful attempts that may have run."""
         self.spent_tokens = 0
         self.outcome = Outcome.NOT_RUN
 
     def next_number(self) -> int:
-        """Return the number of one more attempt."""
-        self.asked += 1
-        return self.asked
+        """Count a new attempt and return its number."""
+        self.started += 1
+        return self.started
 
     def add(self, attempt: Attempt) -> None:
-        """Take in an attempt that ended without a whole answer and without proof of not run."""
+        """Record an attempt that ended without a complete answer or a proof of not running."""
         if not attempt.is_committed:
             return
-        self.begun += 1
+        self.committed += 1
         self.spent_tokens += attempt.plan.request.prompt_tokens
         if attempt.has_data:
             self.outcome = Outcome.FAILED
@@ -86,48 +87,48 @@
 
 
 class Execution:
-    """One request on its way to a whole answer or a true refusal.
+    """The execution of one request, up to a complete answer or a refusal.
 
     Parameters
     ----------
-    around
-        What all executions share.
+    services
+        Services that all executions share.
     in_force
-        The bundle by which the request was admitted; it holds to the end.
+        The bundle under which the request was admitted; it applies until the request ends.
     request
         The request.
     answer
-        Where the answer goes.
+        Receives the answer.
     claim
         Claim of its idempotency key; ``None`` when it has none.
     """
 
     def __init__(
         self,
-        around: ExecutionServices,
+        services: ExecutionServices,
         in_force: BundleInForce,
         request: CallerRequest,
         answer: Answer,
         claim: KeyClaim | None,
     ) -> None:
-        self._around = around
+        self._services = services
         self._in_force = in_force
         self._request = request
         self._answer = answer
         self._claim = claim
         self._rounds = 1
-        self._history = _History()
+        self._history = _AttemptHistory()
         self._failed_vms: set[str] = set()
         self._current: Attempt | None = None
 
     @property
     def attempts(self) -> int:
-        """Attempts so far, those refused included."""
-        return self._history.asked
+        """Number of attempts so far, including refused ones."""
+        return self._history.started
 
     @property
     def outcome(self) -> Outcome:
-        """What can be said truly of the request if it is given up at this moment."""
+        """Outcome to report if the request is cancelled now."""
         current = self._current
         if current is None or not current.is_committed:
             return self._history.outcome
@@ -137,100 +138,106 @@
         return Outcome.UNKNOWN if earlier == Outcome.NOT_RUN else earlier
 
     async def run(self) -> None:
-        """Bring the whole answer, or raise the refusal that is true.
+        """Deliver the complete answer, or raise a refusal with a correct outcome.
 
         Raises
         ------
         Refusal
-            With the outcome that covers all attempts: a sidecar's "not run" speaks only of the
-            last one, and an earlier one may have run.
+            With an outcome that covers all attempts: a sidecar's "not run" applies only to the
+            last attempt, and an earlier one may have run.
         """
         limits = self._in_force.bundle.limits
-        self._around.budget.on_first_attempt(limits.retry_ratio)
+        self._services.budget.on_first_attempt(limits.retry_ratio)
         try:
             while not await self._round():
                 pass
         except Refusal as refusal:
             if refusal.kind.code == "outcome-unknown" and self.outcome == Outcome.FAILED:
-                # Words were shown, so it is known that it ran.
+                # Part of an answer was received, so the request is known to have run.
                 raise Refusal("backend-failed", refusal.figures) from refusal
             if refusal.outcome != Outcome.NOT_RUN or self.outcome == Outcome.NOT_RUN:
                 raise
             raise Refusal(refusal.kind.code, refusal.figures, self.outcome) from refusal
 
     async def _round(self) -> bool:
-        """Ask candidates one after the other; return whether the whole answer came."""
+        """Try candidates one after another; return whether the complete answer was received."""
         refused: list[Refused] = []
-        known = self._known()
-        waits: dict[str, float] = {}
+        known = self._find_sidecars()
+        wait_s_by_vm: dict[str, float] = {}
         chosen = self._choose(known)
-        asks = deque(chosen)
-        while asks:
-            reachable = asks.popleft()
+        pending = deque(chosen)
+        while pending:
+            reachable = pending.popleft()
             result = await self._attempt(reachable)
             match result:
-                case Whole():
+                case Completed():
                     return True
-                case TurnedDown(refusal) if refusal.code == BUSY:
-                    waits[reachable.candidate.vm] = refusal.measured
-                case TurnedDown(refusal) if refusal.code == NO_SPAN and needs_span(
+                case Rejected(refusal) if refusal.code == BUSY:
+                    wait_s_by_vm[reachable.candidate.vm] = refusal.measured
+                case Rejected(refusal) if refusal.code == NO_SPAN and needs_span(
                     self._request, known
                 ):
                     return await self._span_round()
-                case TurnedDown(refusal):
-                    # Nothing ran, so the next one is asked at once: no retry, no pause.
+                case Rejected(refusal):
+                    # Nothing ran, so the next candidate is tried immediately. This doesn't count as
+                    # a retry.
                     refused.append(refusal)
-                case Unreached():
+                case Unreachable():
                     self._failed_vms.add(reachable.candidate.vm)
                 case _:
                     await self._after_run(result)
                     return False
-            if not asks and waits:
-                # All are busy: the one that would begin first is asked again, without a bound.
-                least = min(waits, key=lambda vm: waits[vm])
-                asks.extend(_unbounded(one) for one in chosen if one.candidate.vm == least)
-                waits.clear()
+            if not pending and wait_s_by_vm:
+                # All are busy: retry the one with the shortest predicted wait, without a limit.
+                shortest_wait_vm = min(wait_s_by_vm, key=lambda vm: wait_s_by_vm[vm])
+                pending.extend(
+                    _without_wait_bound(one)
+                    for one in chosen
+                    if one.candidate.vm == shortest_wait_vm
+                )
+                wait_s_by_vm.clear()
         if refused:
-            best = min(refused, key=_come_back_s)
-            if not self._history.begun:
+            best = min(refused, key=_retry_after_s)
+            if not self._history.committed:
                 raise _refusal_of(best)
-            # Something ran already, so this is a retry's refusal: it may pass before the limit.
+            # An earlier attempt may have run, so this refusal is that of a retry. Its cause may
+            # pass before the time limit.
             await self._pause_before_retry(best.retry_after_s, _refusal_of(best))
             return False
         await self._pause_before_retry(0.0, self._no_replica(len(chosen)))
         return False
 
     async def _span_round(self) -> bool:
-        asked = SpanRequest(
+        span_request = SpanRequest(
             self._request,
             self._answer.request_id,
             self._in_force.generation,
-            self._known,
+            self._find_sidecars,
             self._failed_vms,
             self._rounds > 1,
             self._history.next_number,
         )
-        match await Span(self._around, asked, self._attempt).run():
-            case Whole():
+        match await Span(self._services, span_request, self._attempt).run():
+            case Completed():
                 return True
-            case TurnedDown(refused):
+            case Rejected(refused):
                 await self._pause_before_retry(refused.retry_after_s, _refusal_of(refused))
-            case Unreached(cause):
+            case Unreachable(cause):
                 await self._pause_before_retry(0.0, Refusal("no-replica", Figures(detail=cause)))
             case result:
                 await self._after_run(result)
         return False
 
-    def _known(self) -> dict[str, Reachable]:
-        return self._around.candidates.for_request(
+    def _find_sidecars(self) -> dict[str, Reachable]:
+        return self._services.candidates.for_request(
             self._request, self._in_force.bundle.weights, trio.current_time()
         )
 
     def _choose(self, known: dict[str, Reachable]) -> list[Reachable]:
-        around, request = self._around, self._request
-        # Another replica after a failure; the failed ones only when there is no other.
-        fresh = {vm: item for vm, item in known.items() if vm not in self._failed_vms}
-        if not (fresh or known):
+        services, request = self._services, self._request
+        # After a failure, use another replica. Use the failed ones only if there is no other.
+        not_failed = {vm: item for vm, item in known.items() if vm not in self._failed_vms}
+        if not (not_failed or known):
             raise self._no_replica(0)
         route = RouteRequest(
             request_id=self._answer.request_id,
@@ -241,43 +248,43 @@
             prefix_hashes=request.prefix_hashes,
             time_limit_s=self._time_left_s(),
         )
-        usable = fresh or known
-        ordered = around.policy.choose(route, [item.candidate for item in usable.values()])
-        # The policy sets its bound on the wait in the candidates that it returns.
+        usable = not_failed or known
+        ordered = services.policy.choose(route, [item.candidate for item in usable.values()])
+        # The policy sets its wait limit in the candidates that it returns.
         return [
             usable[candidate.vm]._replace(candidate=candidate)
-            for candidate in ordered[: around.settings.max_candidates]
+            for candidate in ordered[: services.settings.max_candidates]
         ]
 
     async def _attempt(self, reachable: Reachable, make: MakeAttempt = Attempt) -> AttemptResult:
         attempt = make(
             self._plan(reachable, self._history.next_number()),
-            self._around.peers,
+            self._services.peers,
             self._answer,
             self._claim,
         )
         self._current = attempt
-        around = self._around
-        resolution = Resolution(attempt, around.candidates, around.events, around.random)
+        services = self._services
+        resolution = Resolution(attempt, services.candidates, services.events, services.random)
         tokens = self._request.prompt_tokens + self._request.max_output_tokens
-        with around.candidates.in_flight(reachable.candidate.vm, tokens):
+        with services.candidates.in_flight(reachable.candidate.vm, tokens):
             result = await attempt.run()
-            if isinstance(result, Elsewhere):
+            if isinstance(result, KeyOwnedElsewhere):
                 result = await resolution.join_owner(result.owner)
-            elif isinstance(result, Lost):
-                result = await resolution.after_cut(result, self._patience_s())
-        self._note(attempt, result)
+            elif isinstance(result, ContactLost):
+                result = await resolution.after_cut(result, self._contact_timeout_s())
+        self._record_result(attempt, result)
         self._current = None
         return result
 
-    def _patience_s(self) -> float:
-        """Return how long a lost sidecar is asked; the time limit ends it in any case."""
+    def _contact_timeout_s(self) -> float:
+        """Return how long to try to reach a lost sidecar; the request's time limit also applies."""
         if self._request.is_idempotent:
-            return self._around.settings.contact_patience_s
+            return self._services.settings.contact_patience_s
         return float("inf")
 
     def _plan(self, reachable: Reachable, number: int) -> AttemptPlan:
-        settings, request = self._around.settings, self._request
+        settings, request = self._services.settings, self._request
         commits_now = (
             request.is_idempotent
             and not request.key
@@ -298,7 +305,7 @@
         )
 
     async def _after_run(self, result: AttemptResult) -> None:
-        """Go on after an attempt that may have run, or raise why not."""
+        """Prepare a retry after an attempt that may have run, or raise the refusal."""
         refusal, hint_s = self._why_not_whole(result)
         if not self._request.is_idempotent:
             raise refusal
@@ -307,7 +314,7 @@
     def _why_not_whole(self, result: AttemptResult) -> tuple[Refusal, float]:
         match result:
             case Failed(end) if end.outcome == Outcome.COMPLETED:
-                # It ran to its end, but the sidecar no longer has the answer to give.
+                # The run completed, but the sidecar no longer keeps its answer.
                 return Refusal("answer-not-kept", Figures(detail=end.detail)), 0.0
             case Failed(end, is_adopted=True) if end.outcome == Outcome.FAILED:
                 return Refusal("key-failed", Figures(detail=end.detail)), 0.0
@@ -315,19 +322,19 @@
                 code = end.code if end.code in REFUSALS else "backend-failed"
                 figures = Figures(retry_after_s=end.retry_after_s, detail=end.detail)
                 return Refusal(code, figures, Outcome.FAILED), end.retry_after_s
-            case Lost(cause, is_broken=True):
+            case ContactLost(cause, is_protocol_error=True):
                 return Refusal("backend-failed", Figures(detail=cause)), 0.0
-            case Gone(vm):
+            case IncarnationGone(vm):
                 detail = f"The sidecar on {vm} that had it was replaced."
                 return Refusal("outcome-unknown", Figures(detail=detail)), 0.0
-            case Lost(cause):
+            case ContactLost(cause):
                 return Refusal("outcome-unknown", Figures(detail=cause)), 0.0
         return Refusal("outcome-unknown"), 0.0
 
     async def _pause_before_retry(self, hint_s: float, refusal: Refusal) -> None:
-        """Sleep before the next attempt, or raise the refusal at once when none may follow."""
-        around, history = self._around, self._history
-        limits, settings = self._in_force.bundle.limits, around.settings
+        """Sleep before the next attempt, or raise the refusal at once if no retry is allowed."""
+        services, history = self._services, self._history
+        limits, settings = self._in_force.bundle.limits, services.settings
         rules = RetryRules(
             limits.max_attempts,
             settings.base_backoff_s,
@@ -336,45 +343,45 @@
         )
         run_tokens = self._request.prompt_tokens + self._request.max_output_tokens
         spent_tokens = history.spent_tokens + self._answer.shown_tokens
-        attempted = Attempted(max(1, history.begun, self._rounds), spent_tokens, run_tokens)
+        attempted = Attempted(max(1, history.committed, self._rounds), spent_tokens, run_tokens)
         decision = decide_retry(
-            rules, attempted, around.budget, self._time_left_s(), hint_s, around.random
+            rules, attempted, services.budget, self._time_left_s(), hint_s, services.random
         )
         if not decision.is_allowed:
-            raise self._not_repeated(refusal, decision.reason, limits.max_attempts)
+            raise self._refusal_without_retry(refusal, decision.reason, limits.max_attempts)
         RETRIES.add(1)
         self._rounds += 1
-        around.events.emit(
+        services.events.emit(
             AttemptRepeated(
                 self._answer.request_id,
-                history.asked + 1,
+                history.started + 1,
                 self._answer.shown_tokens,
                 decision.pause_s,
             )
         )
         await trio.sleep(decision.pause_s)
 
-    def _not_repeated(self, refusal: Refusal, reason: str, max_attempts: int) -> Refusal:
+    def _refusal_without_retry(self, refusal: Refusal, reason: str, max_attempts: int) -> Refusal:
         figures = refusal.figures
         detail = f"{figures.detail} Not repeated: bound of {reason}.".strip()
         return Refusal(refusal.kind.code, figures._replace(detail=detail), refusal.outcome)
 
-    def _no_replica(self, asked: int) -> Refusal:
-        detail = f"{asked} replicas were asked for a reservation; none answered."
+    def _no_replica(self, asked_count: int) -> Refusal:
+        detail = f"{asked_count} replicas were asked for a reservation; none answered."
         return Refusal("no-replica", Figures(retry_after_s=COME_BACK_S, detail=detail))
 
-    def _note(self, attempt: Attempt, result: AttemptResult) -> None:
-        plan, around = attempt.plan, self._around
+    def _record_result(self, attempt: Attempt, result: AttemptResult) -> None:
+        plan, services = attempt.plan, self._services
         where = (plan.request_id, plan.number, plan.vm)
         match result:
-            case Whole():
+            case Completed():
                 return
-            case Unreached(cause):
-                around.events.emit(AttemptCut(*where, False, cause))
-            case TurnedDown(refused):
+            case Unreachable(cause):
+                services.events.emit(AttemptCut(*where, False, cause))
+            case Rejected(refused):
                 if self._claim is not None:
                     self._claim.release(attempt.site)
-                around.events.emit(AttemptRefused(*where, refused.code))
+                services.events.emit(AttemptRefused(*where, refused.code))
             case _:
                 self._failed_vms.add(plan.vm)
                 self._history.add(attempt)
@@ -385,16 +392,16 @@
         return max(0.0, self._request.deadline_s - trio.current_time())
 
 
-def _unbounded(reachable: Reachable) -> Reachable:
+def _without_wait_bound(reachable: Reachable) -> Reachable:
     return reachable._replace(candidate=reachable.candidate._replace(max_wait_s=0.0))
 
 
-def _come_back_s(refused: Refused) -> float:
+def _retry_after_s(refused: Refused) -> float:
     return refused.retry_after_s or float("inf")
 
 
 def _refusal_of(refused: Refused) -> Refusal:
     code = refused.code if refused.code in REFUSALS else "no-replica"
-    retry_after_s = refused.retry_after_s or (COME_BACK_S if code in _PASSING else 0.0)
+    retry_after_s = refused.retry_after_s or (COME_BACK_S if code in _TRANSIENT_CODES else 0.0)
     figures = Figures(refused.limit, refused.measured, retry_after_s, refused.detail)
     return Refusal(code, figures, Outcome.NOT_RUN)
--- a/packages/entry/src/sassafrastally/entry/execution_services.py
+++ b/packages/entry/src/sassafrastally/entry/execution_services.py
@@ -1,4 +1,4 @@
-"""What requests are executed with."""
+"""Shared services for executing requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExecutionServices(NamedTuple):
-    """The services that all executions of a process share."""
+    """Services shared by all executions of a process."""
 
     settings: EntrySettings
     peers: Peers
--- a/packages/entry/src/sassafrastally/entry/hooks.py
+++ b/packages/entry/src/sassafrastally/entry/hooks.py
@@ -1,4 +1,4 @@
-"""Where the request path meets services that a process may leave out: limits and receipts."""
+"""Access of the request path to optional services of the process: limits and receipts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RefusedCall(NamedTuple):
-    """Whose call was refused, as far as it was known by then."""
+    """Request and customer of a refused call, where known at the time of the refusal."""
 
     request_id: str = ""
     customer: str = ""
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def admitted(kernel: Kernel, customer: Customer, tokens: int) -> AsyncIterator[Admission]:
-    """Hold a request's share of the customer's limits while the context lasts.
+    """Count a request against the customer's limits for the duration of the context.
 
     Raises
     ------
@@ -44,7 +44,7 @@
 def seal_receipt(
     kernel: Kernel, bundle: BundleSource, refusal: Refusal, refused: RefusedCall
 ) -> str:
-    """Return the receipt of a refusal; empty when the process seals none."""
+    """Return the receipt of a refusal; empty if the process has no receipt service."""
     if not kernel.has(ReceiptService.name):
         return ""
     in_force = bundle.in_force
--- a/packages/entry/src/sassafrastally/entry/http.py
+++ b/packages/entry/src/sassafrastally/entry/http.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the callers' interface, from the first connection to the last."""
+"""Service that runs the HTTP server of the callers' interface, including its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @event(6011)
 class HttpListening(NamedTuple):
-    """Callers are accepted."""
+    """The callers' interface accepts connections."""
 
     address: str
 
@@ -30,9 +30,9 @@
     Parameters
     ----------
     settings
-        Where and how to listen.
+        Settings of the HTTP server.
     entry_settings
-        How long to drain.
+        Settings of the entry, for the drain time.
     """
 
     name: ClassVar[str] = "http"
@@ -45,7 +45,7 @@
 
     @property
     def bound_address(self) -> Address:
-        """Address at which callers are accepted; known after the start."""
+        """Address that the server is bound to; available after `start`."""
         return self._server.bound_address
 
     @property
@@ -53,7 +53,7 @@
         return self.kernel.get("path", RequestPath)
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Accept callers."""
+        """Start the HTTP server."""
         settings = self._settings
         bounds = ServerBounds(
             keep_alive_s=settings.keep_alive_s,
@@ -66,10 +66,11 @@
         self.kernel.events.emit(HttpListening(str(self.bound_address)))
 
     async def stop(self) -> None:
-        """Let the balancer turn away, finish what is in progress, then close.
+        """Drain, finish the requests in progress, then close.
 
-        The entry isn't ready from the signal on, but a balancer asks only now and then: until it
-        has seen that, requests still come and are served, for refusing them would cut them off.
+        The entry reports not ready from the stop signal on, but the load balancer polls only at
+        intervals. Requests that it sends before it has noticed are still served; refusing them
+        would make them fail.
         """
         drain_s = self._entry_settings.drain_s
         self.kernel.events.emit(EntryDraining(self._path.open_requests, drain_s))
--- a/packages/entry/src/sassafrastally/entry/path.py
+++ b/packages/entry/src/sassafrastally/entry/path.py
@@ -9,7 +9,12 @@
 
 from sassafrastally.core import KernelError, Service, new_request_id
 from sassafrastally.entry.candidates import Candidates
-from sassafrastally.entry.claiming import Claims, KeyClaim, covering_unread_key, uncertain_of_key
+from sassafrastally.entry.claiming import (
+    Claims,
+    KeyClaim,
+    covering_unread_key,
+    with_unknown_outcome,
+)
 from sassafrastally.entry.events import (
     ELAPSED,
     FIRST_DATA,
@@ -44,13 +49,13 @@
 CLAIMS = "claims"
 
 ABANDONED = "caller-gone"
-"""Code under which metrics count requests whose caller left."""
+"""Metric label ``code`` of requests whose caller disconnected."""
 
-SOON_S = 1.0
-"""When to come back after a bound of the entry's memory was reached."""
+RETRY_AFTER_S = 1.0
+"""Retry delay sent to callers when the entry is overloaded, stopping or without a bundle."""
 
 LENGTH_BANDS = ((4_000, "short"), (100_000, "medium"))
-"""Upper bounds of the prompt lengths by which metrics are told apart; longer ones are ``long``."""
+"""Upper bounds in tokens of the prompt length bands in metrics; longer prompts are ``long``."""
 
 
 class OpenRequest(NamedTuple):
@@ -62,7 +67,7 @@
 
 
 class RequestPath(Service):
-    """Takes requests of callers and brings their answers.
+    """Executes requests of callers and returns their answers.
 
     Parameters
     ----------
@@ -79,14 +84,14 @@
         self._held_body_bytes = 0
         self._is_closed = False
         self._idle = trio.lowlevel.ParkingLot()
-        self._around: ExecutionServices
+        self._services: ExecutionServices
         self._membership: Membership
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Find the services that the path stands on."""
+        """Look up the services that the path depends on."""
         kernel, settings = self.kernel, self._settings
         self._membership = cast("Membership", kernel.get("membership", Service))
-        self._around = ExecutionServices(
+        self._services = ExecutionServices(
             settings=settings,
             peers=cast("Peers", kernel.get("peers", Service)),
             candidates=Candidates(self._membership, kernel.data_centre),
@@ -95,10 +100,10 @@
             events=kernel.events,
             random=kernel.random,
         )
-        nursery.start_soon(self._hurry)
+        nursery.start_soon(self._shorten_deadlines)
 
     async def stop(self) -> None:
-        """Take no new requests and wait until those in progress have ended by themselves."""
+        """Refuse new requests and wait until those in progress have ended."""
         self.close()
         while self._open:
             await self._idle.park()
@@ -110,37 +115,37 @@
             self.kernel.events.emit(EntryClosed(len(self._open)))
 
     def status(self) -> dict[str, Any]:
-        """Return figures of the path."""
+        """Return status figures of the request path."""
         return {
             "open_requests": len(self._open),
             "held_body_bytes": self._held_body_bytes,
-            "retries_left": round(self._around.budget.level, 2),
+            "retries_left": round(self._services.budget.level, 2),
             "is_ready": self.is_ready,
         }
 
     @property
     def bundle_source(self) -> BundleSource:
-        """Where the bundle in force is."""
+        """Source of the bundle in force."""
         return cast("BundleSource", self.kernel.get("bundle", Service))
 
     @property
     def in_force(self) -> BundleInForce | None:
-        """The bundle that requests are admitted by."""
+        """Bundle under which requests are admitted; ``None`` if there is none."""
         return self.bundle_source.in_force
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer should send requests here.
+        """Whether the load balancer should send requests to this entry.
 
-        An entry that the VM list shows as leaving isn't, nor one that no sidecar has reported to:
-        it would refuse what another entry can serve.
+        An entry isn't ready if the VM list shows it as leaving or no sidecar has reported to it:
+        it would refuse requests that another entry can serve.
         """
-        leaves = self.kernel.stopping.is_set() or self._membership.is_leaving(self.kernel.vm)
-        return bool(self._membership.loads()) and not leaves and self.in_force is not None
+        is_leaving = self.kernel.stopping.is_set() or self._membership.is_leaving(self.kernel.vm)
+        return bool(self._membership.loads()) and not is_leaving and self.in_force is not None
 
     @property
     def open_requests(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return len(self._open)
 
     def bundle(self) -> BundleInForce:
@@ -152,30 +157,30 @@
             ``stopping`` or ``no-bundle``.
         """
         if self._is_closed:
-            raise Refusal("stopping", Figures(retry_after_s=SOON_S))
+            raise Refusal("stopping", Figures(retry_after_s=RETRY_AFTER_S))
         in_force = self.in_force
         if in_force is None:
-            raise Refusal("no-bundle", Figures(retry_after_s=SOON_S))
+            raise Refusal("no-bundle", Figures(retry_after_s=RETRY_AFTER_S))
         return in_force
 
     def new_id(self) -> RequestId:
-        """Return the name for a new request."""
+        """Return an ID for a new request."""
         return new_request_id(self.kernel.random)
 
     @asynccontextmanager
     async def open(self, request: CallerRequest) -> AsyncIterator[Answer]:
-        """Execute a request while the context lasts; leaving it early cancels the request.
+        """Execute a request for the duration of the context; leaving it early cancels the request.
 
         Yields
         ------
         Answer
-            Its head is known; iterating it gives the data and raises `Refusal` when the rest
-            doesn't come.
+            Its head is known. Iterating over it yields the data and raises `Refusal` if the rest
+            fails.
 
         Raises
         ------
         Refusal
-            When there is no answer.
+            If there is no answer.
         """
         with covering_unread_key(request.key):
             in_force = self.bundle()
@@ -183,15 +188,15 @@
         request_id = request.request_id or self.new_id()
         answer = Answer(request_id, self._settings.max_buffered_bytes)
         refusal: Refusal | None = None
-        with self._counted(request_id, request) as scope:
+        with self._tracked(request_id, request) as scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._execute, in_force, request, answer, scope)
                 try:
                     await answer.wait_started()
-                    self._note_first_data(request)
+                    self._record_first_data(request)
                     yield answer
                 except Refusal as caught:
-                    # Kept out of the nursery, which would wrap it into a group.
+                    # Raised outside the nursery, which would wrap it in an exception group.
                     refusal = caught
                 nursery.cancel_scope.cancel()
         if refusal is not None:
@@ -204,15 +209,15 @@
         answer: Answer,
         scope: trio.CancelScope,
     ) -> None:
-        """Run to the end or the time limit, whether or not the caller reads."""
+        """Run until the end or the time limit, whether or not the caller reads."""
         claim = self._claim_of(request)
-        execution = Execution(self._around, in_force, request, answer, claim)
+        execution = Execution(self._services, in_force, request, answer, claim)
         try:
             refusal = await self._execute_within(scope, execution, request, answer)
             if refusal is not None:
-                answer.fail(await _covering_key(refusal, claim, answer.request_id))
+                answer.fail(await _with_key_outcome(refusal, claim, answer.request_id))
         finally:
-            self._note_end(request, answer, execution)
+            self._record_end(request, answer, execution)
 
     def _claim_of(self, request: CallerRequest) -> KeyClaim | None:
         if not request.key:
@@ -244,12 +249,12 @@
                     await execution.run()
                     admission.settle(_used_tokens(request, answer))
             if scope.cancelled_caught:
-                return self._given_up(request, execution.outcome)
+                return self._cancelled_refusal(request, execution.outcome)
         except Refusal as refusal:
             return refusal
         return None
 
-    def _given_up(self, request: CallerRequest, outcome: Outcome) -> Refusal:
+    def _cancelled_refusal(self, request: CallerRequest, outcome: Outcome) -> Refusal:
         elapsed_s = trio.current_time() - request.arrived_s
         figures = Figures(limit=request.time_limit_s, measured=round(elapsed_s, 3))
         if elapsed_s < request.time_limit_s:
@@ -266,8 +271,8 @@
             raise _overloaded(settings.max_held_body_bytes, held, "bytes of bodies")
 
     @contextmanager
-    def _counted(self, request_id: RequestId, request: CallerRequest) -> Iterator[trio.CancelScope]:
-        """Count a request against the entry's own bounds while the context lasts."""
+    def _tracked(self, request_id: RequestId, request: CallerRequest) -> Iterator[trio.CancelScope]:
+        """Count a request against the entry's own limits for the duration of the context."""
         settings, size = self._settings, len(request.body)
         scope = trio.CancelScope(deadline=request.deadline_s)
         if self.kernel.hurrying.is_set():
@@ -284,8 +289,8 @@
             if not self._open:
                 self._idle.unpark_all()
 
-    async def _hurry(self) -> None:
-        """After a second signal to stop, bound what is left of every request in progress."""
+    async def _shorten_deadlines(self) -> None:
+        """After a second stop signal, shorten the deadline of every request in progress."""
         await self.kernel.hurrying.wait()
         limit_s = self._settings.stop_limit_s
         self.kernel.events.emit(EntryHurried(len(self._open), limit_s))
@@ -293,12 +298,12 @@
         for item in self._open.values():
             item.scope.deadline = min(item.scope.deadline, latest_s)
 
-    def _note_first_data(self, request: CallerRequest) -> None:
+    def _record_first_data(self, request: CallerRequest) -> None:
         if request.model and request.is_streamed:
             elapsed_s = trio.current_time() - request.arrived_s
             FIRST_DATA.record(elapsed_s, {"length": _length_band(request.prompt_tokens)})
 
-    def _note_end(self, request: CallerRequest, answer: Answer, execution: Execution) -> None:
+    def _record_end(self, request: CallerRequest, answer: Answer, execution: Execution) -> None:
         elapsed_s = trio.current_time() - request.arrived_s
         refusal = answer.refusal
         if not answer.is_over:
@@ -329,22 +334,22 @@
         )
 
 
-async def _covering_key(refusal: Refusal, claim: KeyClaim | None, request_id: str) -> Refusal:
-    """Return the refusal with an outcome that is also true of earlier requests of its key.
+async def _with_key_outcome(refusal: Refusal, claim: KeyClaim | None, request_id: str) -> Refusal:
+    """Return the refusal with an outcome that also covers earlier requests with the same key.
 
-    A caller that repeats a booking asks about the booking, not about this repeat. Were the repeat
-    refused as "not run" before it came to the claim, the caller would book again under another
-    key, although the first request had run.
+    A caller that repeats a booking needs the outcome of the booking, not that of the repeated
+    request. If the repeat were refused as "not run" before its claim, the caller would book again
+    under another key, although the first request had run.
     """
     if claim is None or refusal.outcome != Outcome.NOT_RUN:
         return refusal
     if not await claim.earlier_may_have_run(request_id):
         return refusal
-    return uncertain_of_key(refusal)
+    return with_unknown_outcome(refusal)
 
 
 def _overloaded(limit: int, measured: int, what: str) -> Refusal:
-    figures = Figures(limit, measured, SOON_S, f"The bound counts {what}.")
+    figures = Figures(limit, measured, RETRY_AFTER_S, f"The bound counts {what}.")
     return Refusal("overloaded", figures)
 
 
--- a/packages/entry/src/sassafrastally/entry/problems.py
+++ b/packages/entry/src/sassafrastally/entry/problems.py
@@ -1,4 +1,4 @@
-"""Problem details: how a caller reads that a request was turned down or given up on.
+"""Problem details: the HTTP representation of a refusal.
 
 Notes
 -----
@@ -24,7 +24,7 @@
 
 
 class Problem(TypedDict):
-    """Body of an answer that tells of a refusal."""
+    """Body of a response that reports a refusal."""
 
     type: str
     title: str
@@ -42,7 +42,7 @@
 
 
 def make_problem(refusal: Refusal, request_id: str, receipt: str) -> Problem:
-    """Return the problem details of a refusal; empty texts are left out."""
+    """Return the problem details of a refusal, without empty texts."""
     kind, figures = refusal.kind, refusal.figures
     problem = Problem(
         type=f"{_TYPE_PREFIX}{kind.code}",
@@ -67,7 +67,7 @@
 
 
 def problem_headers(problem: Problem) -> dict[str, str]:
-    """Return the headers that go with problem details."""
+    """Return the response headers for problem details."""
     headers = {"Content-Type": MEDIA_TYPE, OUTCOME: problem["outcome"]}
     if "retry_after_s" in problem:
         headers["Retry-After"] = str(math.ceil(problem["retry_after_s"]))
@@ -79,10 +79,10 @@
 
 
 def problem_body(problem: Problem) -> bytes:
-    """Return the JSON of problem details."""
+    """Return problem details encoded as JSON."""
     return json.dumps(problem, separators=(",", ":")).encode()
 
 
 def problem_event(problem: Problem) -> bytes:
-    """Return the last server-sent event of a stream that failed after it began."""
+    """Return the final server-sent event of a stream that failed after it started."""
     return b"event: error\ndata: " + problem_body(problem) + b"\n\n"
--- a/packages/entry/src/sassafrastally/entry/relay.py
+++ b/packages/entry/src/sassafrastally/entry/relay.py
@@ -1,4 +1,4 @@
-"""The way of an answer from a sidecar's chunks to the caller."""
+"""Relays an answer from the chunks of a sidecar to the caller."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
 STREAM_DONE = b"data: [DONE]\n\n"
-"""Last event of a streamed answer whose end was proved."""
+"""Last event of a streamed answer that is complete."""
 
 _STATUS_OK = 200
 
 
 @error(6001)
 class AnswerBroken(CodedError):
-    """The chunks of an attempt have a gap, a wrong count or no end mark."""
+    """The chunks of an attempt have a gap, a wrong count or no end mark, or are too large."""
 
 
 class Head(NamedTuple):
-    """What the caller learns before the data."""
+    """Status and content type, sent to the caller before the data."""
 
     status: int
     """HTTP status."""
@@ -37,26 +37,26 @@
 class Answer:
     """The answer to one request: written by its execution, read by the caller.
 
-    The reader takes all data that is ready as one piece, so that a busy entry makes fewer and
+    The reader receives all available data as one piece, so that a busy entry makes fewer and
     larger sends.
 
     Parameters
     ----------
     request_id
-        Name of the request.
+        ID of the request.
     max_buffered_bytes
-        Data that waits for the reader before the writer is held back.
+        Buffer size at which the writer is blocked until the reader takes the data.
     """
 
     def __init__(self, request_id: RequestId, max_buffered_bytes: int) -> None:
         self.request_id = request_id
         self.head = Head(_STATUS_OK, EVENT_STREAM)
         self.end: End | None = None
-        """The proved end mark; ``None`` before."""
+        """The verified end mark; ``None`` until it arrives."""
         self.refusal: Refusal | None = None
-        """Why there is no whole answer."""
+        """Why there is no complete answer; ``None`` if it hasn't failed."""
         self.shown_tokens = 0
-        """Tokens that the caller has seen or can't be kept from seeing."""
+        """Tokens already sent or buffered for sending to the caller."""
         self._max_buffered_bytes = max_buffered_bytes
         self._parts: list[bytes] = []
         self._size_bytes = 0
@@ -70,7 +70,7 @@
         return self.end is not None or self.refusal is not None
 
     async def put(self, data: bytes, tokens: int) -> None:
-        """Add data for the caller; waits while a slow caller has enough to read."""
+        """Add data for the caller; block while the buffer of a slow caller is full."""
         while self._size_bytes >= self._max_buffered_bytes:
             await self._writers.park()
         self.shown_tokens += tokens
@@ -80,7 +80,7 @@
         self._readers.unpark_all()
 
     def finish(self, end: End, head: Head, rest: bytes = b"") -> None:
-        """Mark the answer as whole, with what was held back until its end was proved."""
+        """Mark the answer as complete and add the data held back until the end was verified."""
         if not self._has_started.is_set():
             self.head = head
         if rest:
@@ -89,7 +89,7 @@
         self._wake()
 
     def fail(self, refusal: Refusal) -> None:
-        """Give the answer up; data that the reader hasn't taken yet still comes first."""
+        """Fail the answer; buffered data is still delivered to the reader first."""
         self.refusal = refusal
         self._wake()
 
@@ -99,7 +99,7 @@
         Raises
         ------
         Refusal
-            When it failed before any data.
+            If the answer failed before any data.
         """
         await self._has_started.wait()
         if self.refusal is not None and not self._parts:
@@ -127,33 +127,33 @@
 
 
 class ChunkOrder:
-    """Checks that the chunks of one attempt are its own, in order and complete.
+    """Checks that chunks belong to one attempt and arrive in order and complete.
 
     Parameters
     ----------
     request_id
-        Request that the chunks must name.
+        Request that the chunks must belong to.
     attempt
-        Attempt that they must name.
+        Attempt that the chunks must belong to.
     """
 
     def __init__(self, request_id: str, attempt: int) -> None:
         self.next_sequence = 0
-        """Number of the chunk that comes next."""
+        """Sequence number of the next expected chunk."""
         self._request_id = request_id
         self._attempt = attempt
 
     def accepts(self, chunk: Chunk) -> bool:
-        """Return whether a chunk is the next one; others are to be dropped.
+        """Return whether a chunk is the next expected one; the caller drops all others.
 
-        Chunks of another request or of an abandoned attempt can still be on their way when a
-        stream is joined anew; shown to the caller they would be part of someone else's answer or
-        a piece twice. So only the exact successor passes.
+        After a reattach, late chunks of another request or of an abandoned attempt may still
+        arrive. Relaying them would mix in another answer or duplicate data, so only the exact
+        successor is accepted.
 
         Raises
         ------
         AnswerBroken
-            When chunks before it are missing.
+            If chunks before it are missing.
         """
         if chunk.request_id != self._request_id or chunk.attempt != self._attempt:
             return False
@@ -165,16 +165,16 @@
         return True
 
     def owns(self, end: End) -> bool:
-        """Return whether an end mark is this attempt's."""
+        """Return whether an end mark belongs to this attempt."""
         return end.request_id == self._request_id and end.attempt == self._attempt
 
     def check_count(self, end: End) -> None:
-        """Check that all chunks came before the end mark.
+        """Check that all chunks arrived before the end mark.
 
         Raises
         ------
         AnswerBroken
-            When the count differs: a short answer must never pass as a whole one.
+            If the count differs: a truncated answer must never pass as a complete one.
         """
         if end.chunks != self.next_sequence:
             raise AnswerBroken(f"{self.next_sequence} of {end.chunks} chunks came")
--- a/packages/entry/src/sassafrastally/entry/request.py
+++ b/packages/entry/src/sassafrastally/entry/request.py
@@ -1,4 +1,4 @@
-"""A caller's request, typed and checked before it reaches any engine."""
+"""Parsing and validation of callers' requests, before they reach any engine."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 COMPLETIONS = "POST /v1/completions"
 CHAT_COMPLETIONS = "POST /v1/chat/completions"
 
-MOST_BYTES_PER_TOKEN = 128
-"""Most UTF-8 bytes that one token stands for: the longest entry of the vocabularies in use. By it
-a text has at least so many tokens, whatever they are."""
+MAX_BYTES_PER_TOKEN = 128
+"""Most UTF-8 bytes in one token: the longest entry of the vocabularies in use. Gives a lower bound
+on the number of tokens in a text."""
 
 _KEY_FORM = re.compile(r"[\x21-\x7e]{1,128}")
 _MAX_DEPTH_DETAIL = "The body is nested too deeply."
 
 
 class CallOptions(NamedTuple):
-    """What a caller asks for by headers."""
+    """Options that a caller sets by headers."""
 
     time_limit_s: float
     is_idempotent: bool
@@ -47,13 +47,13 @@
 
 
 class CallerRequest(NamedTuple):
-    """A checked request of a caller."""
+    """A validated request of a caller."""
 
     customer: Customer
     arrived_s: float
-    """When it came, on the entry's monotonic clock."""
+    """Arrival time, on the entry's monotonic clock."""
     time_limit_s: float
-    """Seconds from the arrival until the whole answer must be given."""
+    """Seconds from arrival within which the complete answer must be delivered."""
     operation: str
     """Method and path with query."""
     body: bytes
@@ -69,7 +69,7 @@
     max_output_tokens: int = 0
     prefix_hashes: tuple[int, ...] = ()
     request_id: RequestId = RequestId("")
-    """Name of the request; the request path makes one when it is empty."""
+    """ID of the request; the request path generates one if it is empty."""
 
     @property
     def target(self) -> str:
@@ -83,12 +83,12 @@
 
 
 def bad_request(detail: str) -> NoReturn:
-    """Raise the refusal of a request that isn't well formed."""
+    """Raise the refusal of a malformed request."""
     raise Refusal("bad-request", Figures(detail=detail))
 
 
 class HeaderSource(Protocol):
-    """Headers of a call, their names in any case."""
+    """Headers of a call, with case-insensitive names."""
 
     def get(self, name: str, /) -> str | None:
         """Return the value of a header."""
@@ -96,30 +96,30 @@
 
 
 def read_options(headers: HeaderSource, default_s: float, max_s: float) -> CallOptions:
-    """Read the headers that every call may carry.
+    """Read the headers that are common to all calls.
 
     Parameters
     ----------
     headers
-        The call's headers, their names in any case.
+        Headers of the call, with case-insensitive names.
     default_s
-        Time limit when the caller names none.
+        Time limit if the caller sets none.
     max_s
-        Longest time limit.
+        Longest time limit that is accepted.
 
     Raises
     ------
     Refusal
-        When one is malformed.
+        If a header is malformed.
     """
     time_limit_s = _read_time_limit(headers.get(TIME_LIMIT), default_s, max_s)
-    marked = (headers.get(IDEMPOTENT) or "true").strip().lower()
-    if marked not in ("true", "false"):
+    idempotent_text = (headers.get(IDEMPOTENT) or "true").strip().lower()
+    if idempotent_text not in ("true", "false"):
         bad_request(f"{IDEMPOTENT} must be true or false.")
     key = headers.get(IDEMPOTENCY_KEY)
     if key is not None and not _KEY_FORM.fullmatch(key):
         bad_request(f"{IDEMPOTENCY_KEY} must be 1 to 128 visible ASCII characters.")
-    return CallOptions(time_limit_s, marked == "true", key or "")
+    return CallOptions(time_limit_s, idempotent_text == "true", key or "")
 
 
 def read_completion(
@@ -130,12 +130,12 @@
     bundle: Bundle,
     arrived_s: float,
 ) -> CallerRequest:
-    """Check a call of the completions interface.
+    """Parse and validate a call of the completions interface.
 
     Raises
     ------
     Refusal
-        When the body is malformed, the model is unknown or not allowed, or the prompt too long.
+        If the body is malformed, the model is unknown or not allowed, or the prompt is too long.
     """
     fields = _read_object(body)
     if "\\ud" in body.decode().lower():
@@ -146,7 +146,7 @@
     max_output_tokens = _read_max_output(fields, bundle.limits)
     shape = _SHAPES[operation](fields)
     _check_length(shape, max_output_tokens or 1, model)
-    room = max(1, model.max_context_tokens - shape.tokens)
+    remaining_tokens = max(1, model.max_context_tokens - shape.tokens)
     return CallerRequest(
         customer=customer,
         arrived_s=arrived_s,
@@ -158,7 +158,8 @@
         is_streamed=is_streamed,
         key=options.key,
         prompt_tokens=shape.tokens,
-        max_output_tokens=max_output_tokens or min(room, bundle.limits.max_output_tokens),
+        max_output_tokens=max_output_tokens
+        or min(remaining_tokens, bundle.limits.max_output_tokens),
         prefix_hashes=shape.prefix_hashes,
     )
 
@@ -172,10 +173,9 @@
     service: PlainService,
     arrived_s: float,
 ) -> CallerRequest:
-    """Make the request of a call to a plain service.
+    """Build the request of a call to a plain service.
 
-    Whether a method may be repeated is the operators' word in the bundle; a caller can only
-    narrow it.
+    The bundle defines which methods are idempotent; a caller can only restrict this further.
     """
     is_idempotent = options.is_idempotent and method in service.idempotent_methods
     return CallerRequest(
@@ -235,7 +235,7 @@
 
 
 def _check_surrogates(fields: Mapping[str, Any]) -> None:
-    """Refuse escaped halves of surrogate pairs: they are valid JSON, but no text has them."""
+    """Refuse escaped lone surrogates: they are valid JSON but can't be encoded as UTF-8."""
     try:
         json.dumps(fields, ensure_ascii=False).encode()
     except UnicodeEncodeError:
@@ -247,7 +247,7 @@
 
 
 def _check_numbers(fields: Mapping[str, Any]) -> None:
-    """Check the sampling fields that every engine knows; the others are the engine's matter."""
+    """Check the sampling fields that all engines support; the engine checks any others."""
     for name, low, high in (("temperature", 0.0, 2.0), ("top_p", 0.0, 1.0)):
         value = fields.get(name)
         if value is None:
@@ -262,7 +262,7 @@
 
 
 def _read_max_output(fields: Mapping[str, Any], limits: Limits) -> int:
-    """Return the most output tokens that the caller asks for; 0 when it names none."""
+    """Return the output token limit set by the caller; 0 if it sets none."""
     for name in ("max_completion_tokens", "max_tokens"):
         value = fields.get(name)
         if value is None:
@@ -285,27 +285,27 @@
 
 
 def _check_length(shape: PromptShape, output_tokens: int, model: Model) -> None:
-    """Refuse a prompt that can't fit, whatever its tokens are.
+    """Refuse a prompt that can't fit the context, however it is tokenized.
 
-    An estimate would turn away texts that fit. What is too long by the engine's own count only,
-    the engine refuses.
+    Checking an estimate would refuse texts that fit. The engine refuses prompts that turn out too
+    long only by its own token count.
     """
-    least = shape.tokens if shape.is_exact else _least_tokens(shape.tokens)
-    if least + output_tokens <= model.max_context_tokens:
+    min_tokens = shape.tokens if shape.is_exact else _min_tokens(shape.tokens)
+    if min_tokens + output_tokens <= model.max_context_tokens:
         return
-    counted = "" if shape.is_exact else f" No token has over {MOST_BYTES_PER_TOKEN} bytes."
+    counted = "" if shape.is_exact else f" No token has over {MAX_BYTES_PER_TOKEN} bytes."
     figures = Figures(
         limit=model.max_context_tokens,
-        measured=least + output_tokens,
+        measured=min_tokens + output_tokens,
         detail=f"Least of prompt and answer asked for, together.{counted}",
     )
     raise Refusal("prompt-too-long", figures)
 
 
-def _least_tokens(estimated_tokens: int) -> int:
-    """Return how many tokens a text has at least, from its estimate."""
-    least_bytes = (estimated_tokens - 1) * BYTES_PER_TOKEN + 1
-    return -(-least_bytes // MOST_BYTES_PER_TOKEN)
+def _min_tokens(estimated_tokens: int) -> int:
+    """Return a lower bound on the tokens of a text, computed from its estimated tokens."""
+    min_bytes = (estimated_tokens - 1) * BYTES_PER_TOKEN + 1
+    return -(-min_bytes // MAX_BYTES_PER_TOKEN)
 
 
 def _completion_shape(fields: Mapping[str, Any]) -> PromptShape:
--- a/packages/entry/src/sassafrastally/entry/resolution.py
+++ b/packages/entry/src/sassafrastally/entry/resolution.py
@@ -1,4 +1,4 @@
-"""What became of a committed attempt to which contact was lost, or that another request made."""
+"""Resolves committed attempts whose link was lost, or that another request with the key started."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 
 import trio
 
-from sassafrastally.entry.attempt import Attempt, AttemptResult, Gone, Lost, TurnedDown
+from sassafrastally.entry.attempt import (
+    Attempt,
+    AttemptResult,
+    ContactLost,
+    IncarnationGone,
+    Rejected,
+)
 from sassafrastally.entry.events import AttemptCut, AttemptResolved
 from sassafrastally.entry.site import Site
 from sassafrastally.serving.outcome import AttemptState
@@ -22,31 +28,31 @@
     from sassafrastally.serving.claims import Placement
 
 PROVED_NOT_RUN = frozenset({AttemptState.ABSENT, AttemptState.VOIDED, AttemptState.REFUSED})
-"""States that prove it, given by a query that voids."""
+"""States that prove that an attempt hasn't run, when returned by a query that voids it."""
 
 MAX_BROKEN_ANSWERS = 2
-"""How often an answer that broke the protocol is asked for again before it counts as failed."""
+"""How often an answer that violates the protocol is requested again before it counts as failed."""
 
 COME_BACK_S = 1.0
-"""When to come back after no replica was reached: a new link stands within that."""
+"""Retry delay sent to callers when no replica was reached: enough to establish a new link."""
 
 CONTACT_BACKOFF = RetryRules(base_backoff_s=0.05, max_backoff_s=1.0)
-"""Pauses between tries to reach a sidecar that may have run a request."""
+"""Backoff between tries to reach a sidecar that may have run a request."""
 
 
 class Resolution:
-    """Finds out what became of one attempt.
+    """Determines the outcome of one attempt.
 
     Parameters
     ----------
     attempt
         The attempt.
     candidates
-        Knows where sidecars take links.
+        Source of sidecar addresses.
     events
-        The process's events.
+        Event log of the process.
     random
-        Source of the jitter.
+        Random source for jitter.
     """
 
     def __init__(
@@ -57,18 +63,18 @@
         self._events = events
         self._random = random
 
-    async def after_cut(self, lost: Lost, patience_s: float) -> AttemptResult:
-        """Learn what became of a committed attempt after contact was lost.
+    async def after_cut(self, lost: ContactLost, patience_s: float) -> AttemptResult:
+        """Determine the outcome of a committed attempt after its link was lost.
 
-        The request may be running now, and only that one incarnation can tell, so it is asked
-        until it answers. Going elsewhere without its word could run a request twice.
+        The request may still be running, and only that incarnation knows, so it is queried until
+        it answers. Failing over without its reply could run a request twice.
 
         Parameters
         ----------
         lost
-            How contact was lost.
+            How the link was lost.
         patience_s
-            How long to ask; a non-idempotent request asks until its time limit.
+            How long to keep querying; for a non-idempotent request, until its time limit.
         """
         plan = self._attempt.plan
         event = AttemptCut(plan.request_id, plan.number, plan.vm, True, lost.cause)
@@ -82,39 +88,39 @@
     async def join_owner(self, owner: Placement) -> AttemptResult:
         """Read the answer of the attempt that owns the idempotency key.
 
-        Once it is proved that the owner never runs, the next attempt may take the key from it.
+        Once the owner is proved never to run, the next attempt may take over the key.
         """
         address = self._candidates.address_of(owner.vm)
         if address is None:
-            return Gone(owner.vm)
+            return IncarnationGone(owner.vm)
         site = Site(owner.vm, address, owner.incarnation, owner.request_id, owner.attempt)
         self._attempt.adopt(site)
-        return await self._ask_until_known(Lost("joined by its key"))
+        return await self._ask_until_known(ContactLost("joined by its key"))
 
-    async def _ask_until_known(self, lost: Lost) -> AttemptResult:
-        attempt, broken = self._attempt, int(lost.is_broken)
+    async def _ask_until_known(self, lost: ContactLost) -> AttemptResult:
+        attempt, broken_answers = self._attempt, int(lost.is_protocol_error)
         for tries in count():
             state = await self._state()
             if state in PROVED_NOT_RUN:
                 return _not_run_of(attempt)
             if state == AttemptState.OTHER_INCARNATION:
-                return Gone(attempt.site.vm)
+                return IncarnationGone(attempt.site.vm)
             if state not in (None, AttemptState.RESERVED):
                 result = await attempt.attach()
-                if not isinstance(result, Lost):
+                if not isinstance(result, ContactLost):
                     return result
-                broken += result.is_broken
-                if broken > MAX_BROKEN_ANSWERS:
+                broken_answers += result.is_protocol_error
+                if broken_answers > MAX_BROKEN_ANSWERS:
                     return result
             await trio.sleep(backoff_s(CONTACT_BACKOFF, tries, 0.0, self._random))
         raise AssertionError("count() never ends")
 
     async def _state(self) -> AttemptState | None:
-        """Return the state of the attempt; ``None`` when its sidecar isn't reached.
+        """Return the state of the attempt; ``None`` if its sidecar can't be reached.
 
-        The owner of a key may be about to commit, so it is first asked without voiding: its
-        reservation lapses by itself. A query that voids would let two requests of one key take
-        each other's reservations away in turn.
+        The owner of a key may be about to commit, so it is first queried without voiding; its
+        reservation expires on its own. If the first query voided, two requests with the same key
+        could keep voiding each other's reservations.
         """
         attempt = self._attempt
         state = await attempt.query(void_if_uncommitted=not attempt.is_adopted)
@@ -126,8 +132,8 @@
         return state
 
 
-def _not_run_of(attempt: Attempt) -> TurnedDown:
+def _not_run_of(attempt: Attempt) -> Rejected:
     plan = attempt.plan
     detail = "Contact was lost before the commit arrived; the attempt was voided."
     own = (plan.request_id, plan.number)
-    return TurnedDown(Refused(*own, "no-replica", retry_after_s=COME_BACK_S, detail=detail))
+    return Rejected(Refused(*own, "no-replica", retry_after_s=COME_BACK_S, detail=detail))
--- a/packages/entry/src/sassafrastally/entry/routes.py
+++ b/packages/entry/src/sassafrastally/entry/routes.py
@@ -1,4 +1,4 @@
-"""The callers' interface as a quart application."""
+"""Quart application of the callers' interface."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 class Call(NamedTuple):
-    """An HTTP call whose caller is known."""
+    """An authenticated HTTP call."""
 
     arrived_s: float
-    """When it came, on the entry's monotonic clock."""
+    """Arrival time, on the entry's monotonic clock."""
     in_force: BundleInForce
     customer: Customer
 
@@ -62,7 +62,7 @@
     Parameters
     ----------
     path
-        The request path that the calls take.
+        The request path that executes the calls.
     """
 
     def __init__(self, path: RequestPath) -> None:
@@ -74,8 +74,8 @@
         app = QuartTrio("sassafrastally.entry", static_folder=None)
         app.asgi_http_class = EntryConnection
         app.request_class = EntryRequest
-        # The path bounds bodies and times by the bundle; quart's own bounds would cut long
-        # answers off after a minute.
+        # The request path limits body sizes and times as the bundle sets them. Quart's default
+        # limits would abort long responses after a minute.
         app.config.update(MAX_CONTENT_LENGTH=None, BODY_TIMEOUT=None, RESPONSE_TIMEOUT=None)
         add = app.add_url_rule
         add("/v1/completions", "completions", self.completions, methods=["POST"])
@@ -89,11 +89,11 @@
         return app
 
     async def healthz(self) -> Response:
-        """Tell that the process runs."""
+        """Report that the process is running."""
         return Response(b"ok\n", content_type="text/plain")
 
     async def readyz(self) -> Response:
-        """Tell the balancer whether requests should come here."""
+        """Report to the load balancer whether the entry is ready for requests."""
         if self._path.is_ready:
             return Response(b"ready\n", content_type="text/plain")
         return Response(b"not ready\n", _UNAVAILABLE, content_type="text/plain")
@@ -121,7 +121,7 @@
         return await self._complete(CHAT_COMPLETIONS)
 
     async def call_service(self, name: str, rest: str = "") -> Response:
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         arrived_s = trio.current_time()
         call: Call | None = None
         try:
@@ -137,12 +137,12 @@
             path = "/" + rest
             if query := request.query_string.decode("latin-1"):
                 path += "?" + query
-            asked = read_service_call(
+            caller_request = read_service_call(
                 body, request.method, path, options, call.customer, service, arrived_s
             )
-            return await self._answer(asked)
+            return await self._answer(caller_request)
         except Refusal as refusal:
-            return self._problem_response(refusal, _refused(call))
+            return self._problem_response(refusal, _refused_call(call))
 
     async def _complete(self, operation: str) -> Response:
         arrived_s = trio.current_time()
@@ -154,12 +154,12 @@
                 request.headers, limits.default_time_limit_s, limits.max_time_limit_s
             )
             body = await _read_body(limits.max_body_bytes, arrived_s + options.time_limit_s)
-            asked = read_completion(
+            caller_request = read_completion(
                 body, operation, options, call.customer, call.in_force.bundle, arrived_s
             )
-            return await self._answer(asked)
+            return await self._answer(caller_request)
         except Refusal as refusal:
-            return self._problem_response(refusal, _refused(call))
+            return self._problem_response(refusal, _refused_call(call))
 
     def _identify(self, arrived_s: float) -> Call:
         with covering_unread_key(request.headers.get(IDEMPOTENCY_KEY)):
@@ -167,37 +167,37 @@
         customer = self._callers.customer(in_force, request.headers.get("Authorization"))
         return Call(arrived_s, in_force, customer)
 
-    async def _answer(self, asked: CallerRequest) -> Response:
-        """Open the request and answer; the request lasts until the answer is sent."""
-        asked = asked._replace(request_id=self._path.new_id())
+    async def _answer(self, caller_request: CallerRequest) -> Response:
+        """Execute the request and respond; the request ends once the response is sent."""
+        caller_request = caller_request._replace(request_id=self._path.new_id())
         stack = cast("EntryRequest", request._get_current_object()).stack  # type: ignore[attr-defined]
         try:
-            answer = await stack.enter_async_context(self._path.open(asked))
-            if asked.is_streamed:
-                return self._streamed(answer, asked)
+            answer = await stack.enter_async_context(self._path.open(caller_request))
+            if caller_request.is_streamed:
+                return self._stream_response(answer, caller_request)
             body = b"".join([data async for data in answer])
         except Refusal as refusal:
-            refused = RefusedCall(asked.request_id, asked.customer.name)
+            refused = RefusedCall(caller_request.request_id, caller_request.customer.name)
             return self._problem_response(refusal, refused)
         response = Response(body, answer.head.status, content_type=answer.head.content_type)
         response.headers[REQUEST_ID] = answer.request_id
         response.headers[OUTCOME] = str(Outcome.COMPLETED)
         return response
 
-    def _streamed(self, answer: Answer, asked: CallerRequest) -> Response:
+    def _stream_response(self, answer: Answer, caller_request: CallerRequest) -> Response:
         head = answer.head
-        events = self._events(answer, asked)
+        events = self._events(answer, caller_request)
         response = Response(events, head.status, content_type=head.content_type)
         response.headers["Cache-Control"] = "no-store"
         response.headers[REQUEST_ID] = answer.request_id
         return response
 
-    async def _events(self, answer: Answer, asked: CallerRequest) -> AsyncIterator[bytes]:
+    async def _events(self, answer: Answer, caller_request: CallerRequest) -> AsyncIterator[bytes]:
         try:
             async for data in answer:
                 yield data
         except Refusal as refusal:
-            refused = RefusedCall(answer.request_id, asked.customer.name)
+            refused = RefusedCall(answer.request_id, caller_request.customer.name)
             yield problem_event(self._problem(refusal, refused))
             return
         if answer.head.content_type.startswith(EVENT_STREAM):
@@ -212,7 +212,7 @@
         return make_problem(refusal, refused.request_id, receipt)
 
 
-def _refused(call: Call | None) -> RefusedCall:
+def _refused_call(call: Call | None) -> RefusedCall:
     return RefusedCall(customer=call.customer.name if call else "")
 
 
@@ -229,7 +229,7 @@
 
 
 async def _read_body(max_bytes: int, deadline_s: float) -> bytes:
-    """Read the body, counting while it comes: a length that the caller declares proves nothing."""
+    """Read the body and count its bytes, since the declared length may be wrong."""
     declared = request.content_length
     if declared is not None and declared > max_bytes:
         raise Refusal("body-too-large", Figures(max_bytes, declared))
--- a/packages/entry/src/sassafrastally/entry/settings.py
+++ b/packages/entry/src/sassafrastally/entry/settings.py
@@ -13,13 +13,13 @@
     """The callers' HTTP interface."""
 
     listen_address: Address
-    """Where callers and the balancer connect."""
+    """Address to listen on for callers and the load balancer."""
     keep_alive_s: float = 75.0
-    """An idle connection is closed after this; longer than the balancer's own limit."""
+    """Idle time after which a connection is closed; must exceed the load balancer's own limit."""
     backlog: int = 1024
-    """Connections that wait to be accepted."""
+    """Length of the queue of connections waiting to be accepted."""
     unsent_limit_s: float = 60.0
-    """A connection whose peer takes no bytes for so long is cut by the kernel."""
+    """Time without any byte acknowledged by the peer after which the kernel aborts a connection."""
 
 
 @section("entry", "entry")
@@ -29,32 +29,32 @@
     routing_policy: str = "prefix-affinity"
     """Name of a registered routing policy."""
     max_open_requests: int = 4_000
-    """Requests in progress; beyond it new ones are refused as ``overloaded``."""
+    """Maximum requests in progress; further requests are refused as ``overloaded``."""
     max_held_body_bytes: int = 48_000_000
-    """Bodies of all requests in progress together; beyond it new ones are refused."""
+    """Maximum total size of the bodies of requests in progress; further requests are refused as
+    ``overloaded``."""
     max_answer_bytes: int = 8_000_000
-    """Longest whole answer that is held until its end is proved."""
+    """Maximum size of a non-streamed answer, which is buffered until its end is verified."""
     max_buffered_bytes: int = 262_144
-    """Streamed data that waits for a slow caller before the sidecar is held back."""
+    """Streamed data buffered for a slow caller before backpressure is applied to the sidecar."""
     max_candidates: int = 8
-    """Sidecars asked for a reservation in one round."""
+    """Maximum sidecars asked for a reservation in one round."""
     commit_now_tokens: int = 4_000
     """Idempotent requests up to this many tokens reserve and commit in one message."""
     base_backoff_s: float = 0.05
-    """Upper bound of the first pause between attempts; it doubles with each."""
+    """Upper bound of the first backoff between attempts; it doubles with each attempt."""
     max_backoff_s: float = 2.0
-    """Upper bound of a pause that no server asked for."""
+    """Upper bound of a backoff, unless a server requests a longer one."""
     retry_burst: float = 20.0
-    """Retries that may be saved up by first attempts."""
+    """Maximum retries that the retry budget accumulates from first attempts."""
     max_spent_ratio: float = 2.0
-    """Most engine tokens that all attempts together may cost, in costs of one run."""
+    """Maximum engine tokens spent by all attempts of a request, as a multiple of one run."""
     contact_patience_s: float = 1.0
-    """How long an idempotent request tries to reach the sidecar that it lost before it goes on
-    elsewhere."""
+    """How long an idempotent request tries to reach a lost sidecar before failing over."""
     reserve_timeout_s: float = 2.0
-    """A sidecar that answers no reservation within this counts as not reached."""
+    """Time within which a sidecar must answer a reservation; otherwise it counts as unreachable."""
     drain_s: float = 3.0
-    """How long new requests are still served after the signal to stop: the balancer needs to see
-    that the entry isn't ready."""
+    """How long new requests are still served after the stop signal, so that the load balancer can
+    notice that the entry isn't ready."""
     stop_limit_s: float = 10.0
-    """Requests still in progress are given up so long after a second signal to stop."""
+    """Time after a second stop signal at which requests still in progress are cancelled."""
--- a/packages/entry/src/sassafrastally/entry/site.py
+++ b/packages/entry/src/sassafrastally/entry/site.py
@@ -1,4 +1,4 @@
-"""Where an attempt lives."""
+"""Location of an attempt."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Site(NamedTuple):
-    """Where an attempt lives: exactly one incarnation of one sidecar."""
+    """The location of an attempt: exactly one incarnation of one sidecar."""
 
     vm: str
     address: Address
--- a/packages/entry/src/sassafrastally/entry/span.py
+++ b/packages/entry/src/sassafrastally/entry/span.py
@@ -1,8 +1,8 @@
-"""Spans: a prompt that no single engine holds, brought through several of them.
+"""Spans: processing of a prompt that is too long for one engine across several engines.
 
-The entry plans and keeps the streams to all members open; with the last of them closed, nothing
-holds their memory. All members are reserved before any computes, always in the order of their VM
-names, and a reservation that fails releases those before it.
+The entry plans the span and keeps a stream to each member open; the memory of the members is held
+only while these streams are open. All members are reserved before any of them computes, always in
+the order of their VM names. A failed reservation releases the earlier ones.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     from sassafrastally.entry.candidates import Reachable
     from sassafrastally.entry.execution_services import ExecutionServices
     from sassafrastally.entry.request import CallerRequest
-    from sassafrastally.entry.span_try import Lead, SpanRequest
+    from sassafrastally.entry.span_try import LeaderRunner, SpanRequest
     from sassafrastally.serving.spans import Segment
     from sassafrastally.wire.messages import Refused
 
@@ -31,23 +31,23 @@
 
 BASE_PAUSE_S = 0.1
 MAX_PAUSE_S = 2.0
-"""Bounds of the pause before memory that is promised to others is asked for again."""
+"""Bounds of the pause before retrying to reserve memory that is promised to other requests."""
 
 JITTER = (0.5, 1.5)
-"""Share of the pause that is drawn, so that two spans don't ask in step again and again."""
+"""Range of the random factor of a pause, so that two spans don't keep retrying in lockstep."""
 
-WAITS_FOR_ROOM = frozenset({"memory-full", "overloaded"})
-"""Refusals after which the same engine may be asked again."""
+CAPACITY_REFUSALS = frozenset({"memory-full", "overloaded"})
+"""Refusals for lack of capacity, after which the same engine can be tried again."""
 
-MAY_COME_BACK = frozenset({"no-replica", "leaving"})
-"""Refusals of engines in whose place another one may soon stand."""
+TRANSIENT_REFUSALS = frozenset({"no-replica", "leaving"})
+"""Refusals by engines that may soon be replaced by another one."""
 
-ENGINE_PATIENCE_S = 10.0
-"""How long to wait for engines that were lost: longer than a restart takes to be seen."""
+ENGINE_RECOVERY_TIMEOUT_S = 10.0
+"""How long to wait for lost engines: longer than it takes to detect a restart."""
 
 
 def needs_span(request: CallerRequest, known: Mapping[str, Reachable]) -> bool:
-    """Return whether a prompt is longer than any engine that serves its model can hold."""
+    """Return whether a prompt is too long for every single engine that serves its model."""
     tokens = request.prompt_tokens + request.max_output_tokens
     engines = [item.candidate for item in known.values() if item.candidate.total_blocks]
     return bool(request.model and engines) and all(
@@ -56,72 +56,78 @@
 
 
 class Span:
-    """One request over several engines, until it has its answer or a member broke.
+    """One request across several engines, until it is answered or a member fails.
 
     Parameters
     ----------
-    around
-        What all executions share.
-    asked
+    services
+        Services that all executions share.
+    span_request
         The request.
-    lead
-        Runs the attempt at the leader, with what makes it, and tells what came of it.
+    leader_runner
+        Creates the attempt on the leader with the given factory, runs it and returns its result.
     """
 
-    def __init__(self, around: ExecutionServices, asked: SpanRequest, lead: Lead) -> None:
-        self._around = around
-        self._asked = asked
-        self._lead = lead
+    def __init__(
+        self, services: ExecutionServices, span_request: SpanRequest, leader_runner: LeaderRunner
+    ) -> None:
+        self._services = services
+        self._span_request = span_request
+        self._leader_runner = leader_runner
         self._refused: dict[str, Refused] = {}
-        """Engines that were asked and can't take part, with what they said."""
-        self._has_lost = asked.is_repeated
-        """Whether an engine that was in the plan couldn't take part."""
-        self._patient_until_s = float("inf")
+        """Engines that were asked and can't take part, with their refusals."""
+        self._has_lost_engine = span_request.is_repeated
+        """Whether a planned engine couldn't take part."""
+        self._engines_deadline_s = float("inf")
 
     async def run(self) -> AttemptResult:
-        """Reserve all members, again until it succeeds, and go through the span.
+        """Reserve all members, retrying until it succeeds, and run the span.
 
         Raises
         ------
         Refusal
-            When no set of engines can hold the prompt, or none does within the time limit.
+            If no set of engines can hold the prompt, or none can within the time limit.
         """
         while True:
-            known = self._asked.look()
+            known = self._span_request.look()
             segments = self._plan(known)
             if segments is None:
                 await self._wait_for_engines(known)
                 continue
-            result = await SpanTry(self._around, self._asked, known, self._lead, segments).run()
+            result = await SpanTry(
+                self._services, self._span_request, known, self._leader_runner, segments
+            ).run()
             if not isinstance(result, NotReserved):
                 return result
             await self._after_refusal(result)
 
     def _plan(self, known: Mapping[str, Reachable]) -> list[Segment] | None:
-        """Return the segments, without engines that failed if the others can hold them."""
-        request = self._asked.request
+        """Return the segments, avoiding failed engines if the others can hold the prompt."""
+        request = self._span_request.request
         refused = self._refused.keys()
-        for left_out in (refused | self._asked.failed_vms, refused):
-            engines = [_member_engine(item) for vm, item in known.items() if vm not in left_out]
+        for excluded_vms in (refused | self._span_request.failed_vms, refused):
+            engines = [_member_engine(item) for vm, item in known.items() if vm not in excluded_vms]
             segments = plan_span(engines, request.prompt_tokens, request.max_output_tokens)
             if segments is not None:
                 return segments
         return None
 
     async def _wait_for_engines(self, known: Mapping[str, Reachable]) -> None:
-        """Pause when too few engines are left, or raise why there will be no span.
+        """Pause if too few engines are left, or raise the refusal.
 
-        An engine that restarts is gone from the reports for seconds. Refusing at once would fail
-        most spans for which one of many engines is replaced.
+        An engine that restarts is missing from the load reports for seconds. Refusing at once
+        would fail most spans in which one of several engines is replaced.
         """
-        final = [refused for refused in self._refused.values() if refused.code not in MAY_COME_BACK]
-        if final:
-            raise _refusal_of(final[0])
+        permanent = [
+            refused for refused in self._refused.values() if refused.code not in TRANSIENT_REFUSALS
+        ]
+        if permanent:
+            raise _refusal_of(permanent[0])
         now_s = trio.current_time()
-        if not self._has_lost:
+        if not self._has_lost_engine:
             raise self._no_span(known)
-        self._patient_until_s = min(self._patient_until_s, now_s + ENGINE_PATIENCE_S)
-        if now_s >= self._patient_until_s:
+        self._engines_deadline_s = min(self._engines_deadline_s, now_s + ENGINE_RECOVERY_TIMEOUT_S)
+        if now_s >= self._engines_deadline_s:
             if self._refused:
                 raise _refusal_of(next(iter(self._refused.values())))
             raise self._no_span(known)
@@ -129,25 +135,25 @@
         await self._pause(BASE_PAUSE_S)
 
     def _no_span(self, known: Mapping[str, Reachable]) -> Refusal:
-        request = self._asked.request
+        request = self._span_request.request
         engines = [_member_engine(item) for item in known.values()]
-        most = held_tokens(engines, request.max_output_tokens)
+        max_held_tokens = held_tokens(engines, request.max_output_tokens)
         detail = f"So much hold the {len(engines)} engines of the model together."
-        return Refusal(NO_SPAN, Figures(most, request.prompt_tokens, detail=detail))
+        return Refusal(NO_SPAN, Figures(max_held_tokens, request.prompt_tokens, detail=detail))
 
     async def _after_refusal(self, result: NotReserved) -> None:
         refused = result.refused
-        if refused.code not in WAITS_FOR_ROOM:
+        if refused.code not in CAPACITY_REFUSALS:
             self._refused[result.vm] = refused
-            self._has_lost = True
-        left_s = self._asked.request.deadline_s - trio.current_time()
-        if refused.code in WAITS_FOR_ROOM and refused.retry_after_s >= left_s:
+            self._has_lost_engine = True
+        left_s = self._span_request.request.deadline_s - trio.current_time()
+        if refused.code in CAPACITY_REFUSALS and refused.retry_after_s >= left_s:
             raise _refusal_of(refused)
         await self._pause(refused.retry_after_s)
 
-    async def _pause(self, least_s: float) -> None:
-        pause_s = min(MAX_PAUSE_S, max(BASE_PAUSE_S, least_s))
-        await trio.sleep(pause_s * self._around.random.uniform(*JITTER))
+    async def _pause(self, min_s: float) -> None:
+        pause_s = min(MAX_PAUSE_S, max(BASE_PAUSE_S, min_s))
+        await trio.sleep(pause_s * self._services.random.uniform(*JITTER))
 
 
 def _member_engine(item: Reachable) -> MemberEngine:
--- a/packages/entry/src/sassafrastally/entry/span_member.py
+++ b/packages/entry/src/sassafrastally/entry/span_member.py
@@ -1,4 +1,4 @@
-"""One engine's part in a span, as the entry sees it: reserved, computed, then held."""
+"""One member of a span, seen from the entry: a segment that is reserved, computed and held."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     from sassafrastally.wire.messages import Message
 
 REJOIN_LIMIT_S = 1.0
-"""How long a member is sought after its link was cut; shorter than the sidecars' grace, so that
-what was given up here is never taken for held."""
+"""How long to try to reattach to a member after a lost link. Shorter than the grace period of the
+sidecars, so that a released segment is never assumed to be held."""
 
 REJOIN_PAUSE_S = 0.05
 
@@ -44,18 +44,18 @@
 
 @error(6002)
 class SpanBroken(CodedError):
-    """A segment of a span is gone, so the span can't go on."""
+    """A segment of a span was lost, so the span can't continue."""
 
 
 class Imports(NamedTuple):
-    """The KV exports that a segment starts from, in prompt order."""
+    """The KV cache exports that a segment builds on, in prompt order."""
 
     handles: tuple[str, ...] = ()
     sources: tuple[str, ...] = ()
     tokens: tuple[int, ...] = ()
 
     def with_member(self, member: Member) -> Imports:
-        """Return these and one further export."""
+        """Return the imports extended by the export of one more member."""
         return Imports(
             (*self.handles, member.handle),
             (*self.sources, member.engine_address),
@@ -63,12 +63,12 @@
         )
 
 
-class Place(NamedTuple):
-    """Which attempt computes a segment, and where."""
+class SegmentPlacement(NamedTuple):
+    """The attempt that computes a segment, and its sidecar."""
 
     request_id: str
     number: int
-    """Number of the attempt; each member of each try has its own."""
+    """Attempt number; unique for each member of each try."""
     vm: str
     address: Address
     generation: int
@@ -76,28 +76,28 @@
 
 
 class Member:
-    """A segment on one engine. Leaving its context gives the segment up there.
+    """A segment on one engine; leaving its context releases the segment.
 
     Parameters
     ----------
     peers
         The links of the process.
     place
-        Which attempt, and where.
+        The attempt and its sidecar.
     segment
-        Its part of the prompt.
+        The part of the prompt to compute.
     request
         The request.
     """
 
     def __init__(
-        self, peers: Peers, place: Place, segment: Segment, request: CallerRequest
+        self, peers: Peers, place: SegmentPlacement, segment: Segment, request: CallerRequest
     ) -> None:
         self.place = place
         self.segment = segment
         self.handle = handle_of(place.request_id, place.number)
         self.engine_address = ""
-        """Where other engines fetch its export; known when it is reserved."""
+        """Address from which other engines fetch the export; set by `reserve`."""
         self._peers = peers
         self._request = request
         self._incarnation = ""
@@ -120,7 +120,7 @@
         await self._streams.aclose()
 
     async def reserve(self, starts_in_s: float, imports: Imports) -> Reserved | Refused | None:
-        """Ask for the segment's memory; ``None`` when the sidecar isn't reached."""
+        """Reserve memory for the segment; return ``None`` if the sidecar isn't reached."""
         answered: Reserved | Refused | None = None
         try:
             with trio.move_on_after(self.place.reserve_timeout_s):
@@ -142,7 +142,7 @@
         Raises
         ------
         SpanBroken
-            When it never will be.
+            If the segment fails.
         """
         self._is_committed = True
         place = self.place
@@ -157,9 +157,9 @@
                 nursery.start_soon(self._send_body, self._stream)
                 done = await self._receive_done()
             except _LINK_ERRORS as lost:
-                cause = self._broken(lost.detail)
+                cause = self._span_broken(lost.detail)
             except SpanBroken as broken:
-                # Kept out of the nursery, which would wrap it into a group.
+                # Raised outside the nursery, which would wrap it in an exception group.
                 cause = broken
             nursery.cancel_scope.cancel()
         if cause is not None:
@@ -167,18 +167,18 @@
         return done
 
     async def watch(self) -> None:
-        """Wait for as long as the export is held.
+        """Wait while the export is held.
 
         Raises
         ------
         SpanBroken
-            When it isn't any more, or can't be known to be.
+            If it is no longer held, or that can't be determined.
         """
         while True:
             await self._receive()
 
     async def give_up(self) -> None:
-        """Tell the sidecar to free the segment, if there may be something to free."""
+        """Tell the sidecar to free the segment, unless it is already over."""
         if self._is_over or self._stream is None:
             return
         self._is_over = True
@@ -189,14 +189,14 @@
                 await self._stream.send(cancel)
             except (LinkCut, StreamEnded):
                 if not is_ending:
-                    await self._cancel_anew(cancel)
+                    await self._cancel_on_new_stream(cancel)
 
-    async def _cancel_anew(self, cancel: Cancel) -> None:
+    async def _cancel_on_new_stream(self, cancel: Cancel) -> None:
         try:
             link = await self._peers.link_to(self.place.vm, self.place.address)
             await link.call(cancel)
         except _LINK_ERRORS:
-            return  # The sidecar frees it after its grace.
+            return  # The sidecar frees the segment after its grace period.
 
     async def _open(self) -> Stream:
         link = await self._peers.link_to(self.place.vm, self.place.address)
@@ -217,21 +217,21 @@
                 try:
                     return decode_done(message.data)
                 except ValueError as cause:
-                    raise self._broken(f"announced as {cause}") from cause
+                    raise self._span_broken(f"announced as {cause}") from cause
 
     async def _receive(self) -> Message:
-        """Return the next message; joins again after a cut of the link."""
+        """Return the next message; reattach if the link is lost."""
         while True:
             assert self._stream is not None
             try:
                 message = await self._stream.receive()
             except (LinkCut, StreamEnded) as cause:
                 if not await self._rejoin():
-                    raise self._broken(cause.detail) from cause
+                    raise self._span_broken(cause.detail) from cause
                 continue
             if isinstance(message, End | Refused) and message[:2] == self._key:
                 self._is_over = True
-                raise self._broken(f"{message.code} {message.detail}".strip())
+                raise self._span_broken(f"{message.code} {message.detail}".strip())
             return message
 
     async def _rejoin(self) -> bool:
@@ -253,9 +253,9 @@
                 part = body[start : start + MAX_CHUNK_BYTES]
                 await stream.send(Chunk(*self._key, sequence, 0, part))
         except (LinkCut, StreamEnded):
-            return  # The reader of the same stream meets the cut too.
+            return  # The reader of the same stream gets the same error and handles it.
 
-    def _broken(self, detail: str) -> SpanBroken:
+    def _span_broken(self, detail: str) -> SpanBroken:
         return SpanBroken(f"segment on {self.place.vm}: {detail}")
 
     @property
@@ -274,8 +274,8 @@
                 model=request.model,
                 customer=request.customer.name,
                 time_limit_s=self._time_left_s(),
-                # Computing a segment shows nothing to anybody and may be repeated; only the
-                # leader's run is the request's execution.
+                # Computing a segment has no visible effect and can be repeated. Only the run on
+                # the leader executes the request.
                 idempotent=True,
                 priority=request.customer.priority,
                 body_size_bytes=len(request.body),
@@ -291,7 +291,7 @@
 def segment_reserve(
     reserve: Reserve, segment: Segment, starts_in_s: float, imports: Imports
 ) -> Reserve:
-    """Return a reservation that asks for one segment of the prompt."""
+    """Return the reservation restricted to one segment of the prompt."""
     return reserve._replace(
         prompt_tokens=segment.end_tokens,
         segment_tokens=segment.tokens,
--- a/packages/entry/src/sassafrastally/entry/span_try.py
+++ b/packages/entry/src/sassafrastally/entry/span_try.py
@@ -1,4 +1,4 @@
-"""One try at a span: a set of engines reserved together, computed in order, held to the end."""
+"""One try at a span: engines reserved together, computed in order and held until the end."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import trio
 
 from sassafrastally.core import event
-from sassafrastally.entry.attempt import Attempt, Failed, TurnedDown, Unreached
+from sassafrastally.entry.attempt import Attempt, Failed, Rejected, Unreachable
 from sassafrastally.entry.span_member import (
     Imports,
     Member,
-    Place,
+    SegmentPlacement,
     SpanBroken,
     segment_reserve,
 )
@@ -37,12 +37,12 @@
     from sassafrastally.wire.messages import Reserve
 
     MakeAttempt: TypeAlias = Callable[[AttemptPlan, Peers, Answer, KeyClaim | None], Attempt]
-    Lead: TypeAlias = Callable[[Reachable, MakeAttempt], Awaitable[AttemptResult]]
+    LeaderRunner: TypeAlias = Callable[[Reachable, MakeAttempt], Awaitable[AttemptResult]]
 
 
 @event(6013)
 class SpanPlanned(NamedTuple):
-    """A prompt goes over several engines."""
+    """A prompt was split across several engines."""
 
     request_id: str
     vms: tuple[str, ...]
@@ -51,7 +51,7 @@
 
 @event(6014, "warning")
 class SpanBrokenOff(NamedTuple):
-    """A segment was lost, so the span was given up."""
+    """A segment was lost, so the span was aborted."""
 
     request_id: str
     cause: str
@@ -64,46 +64,46 @@
     request_id: str
     generation: int
     look: Callable[[], Mapping[str, Reachable]]
-    """Returns the sidecars that serve the model at this moment, by VM."""
+    """Returns the sidecars that currently serve the model, by VM."""
     failed_vms: set[str]
-    """Where earlier attempts failed; used only when the others can't hold the prompt."""
+    """VMs of earlier failed attempts; used only if the others can't hold the prompt."""
     is_repeated: bool
-    """Whether an earlier try failed: an engine that it had may be missing now."""
+    """Whether an earlier try failed, so that one of its engines may be missing now."""
     next_number: Callable[[], int]
-    """Gives each member the number of an attempt."""
+    """Returns a new attempt number for each member."""
 
 
 class NotReserved(NamedTuple):
-    """A member didn't take its segment; nothing of the span has run."""
+    """A member refused its segment or wasn't reached; no part of the span has run."""
 
     vm: str
     refused: Refused
 
 
 class SpanTry:
-    """One set of engines: reserved together, computed one after the other, held to the end."""
+    """One set of engines: reserved together, computed one after another, held until the end."""
 
     def __init__(
         self,
-        around: ExecutionServices,
-        asked: SpanRequest,
+        services: ExecutionServices,
+        span_request: SpanRequest,
         known: Mapping[str, Reachable],
-        lead: Lead,
+        leader_runner: LeaderRunner,
         segments: list[Segment],
     ) -> None:
-        self._around = around
-        self._asked = asked
+        self._services = services
+        self._span_request = span_request
         self._known = known
-        self._lead = lead
+        self._leader_runner = leader_runner
         self._segments = segments
         self._members: list[Member] = []
         self._imports = Imports()
         self._starts_in_s = 0.0
         self._broken = ""
-        """Why the span can't go on; empty while it can."""
+        """Why the span can't continue; empty while it can."""
         self._scopes: list[trio.CancelScope] = []
         self._is_computed = False
-        """Whether the members were committed: from then on a failure costs a retry."""
+        """Whether the members were committed; from then on a failure counts as a retry."""
         self._is_released = False
         self._nursery: trio.Nursery
 
@@ -118,16 +118,16 @@
             return await self._run_leader()
 
     def _member(self, segment: Segment) -> Member:
-        asked, around = self._asked, self._around
-        place = Place(
-            asked.request_id,
-            asked.next_number(),
+        span_request, services = self._span_request, self._services
+        place = SegmentPlacement(
+            span_request.request_id,
+            span_request.next_number(),
             segment.vm,
             self._known[segment.vm].address,
-            asked.generation,
-            around.settings.reserve_timeout_s,
+            span_request.generation,
+            services.settings.reserve_timeout_s,
         )
-        return Member(around.peers, place, segment, asked.request)
+        return Member(services.peers, place, segment, span_request.request)
 
     async def _reserve(self, member: Member) -> NotReserved | None:
         answered = await member.reserve(self._starts_in_s, self._imports)
@@ -148,46 +148,46 @@
         leader = self._segments[-1]
         async with trio.open_nursery() as self._nursery:
             try:
-                result = await self._lead(self._known[leader.vm], self._make_leader)
+                result = await self._leader_runner(self._known[leader.vm], self._make_leader)
             except Refusal as caught:
-                # Kept out of the nursery, which would wrap it into a group.
+                # Raised outside the nursery, which would wrap it in an exception group.
                 refusal = caught
             self._nursery.cancel_scope.cancel()
         if refusal is not None:
             raise refusal
         assert result is not None
         if not self._is_computed:
-            if isinstance(result, TurnedDown):
+            if isinstance(result, Rejected):
                 return NotReserved(leader.vm, result.refused)
-            if isinstance(result, Unreached):
+            if isinstance(result, Unreachable):
                 return NotReserved(leader.vm, Refused(code="no-replica", detail=result.cause))
         if self._broken:
-            self._around.events.emit(SpanBrokenOff(self._asked.request_id, self._broken))
+            self._services.events.emit(SpanBrokenOff(self._span_request.request_id, self._broken))
         return result
 
     def _make_leader(
         self, plan: AttemptPlan, peers: Peers, answer: Answer, claim: KeyClaim | None
     ) -> Attempt:
-        # Reserved and committed in two messages: the members compute in between.
+        # Reservation and commit are separate messages: the members compute in between.
         plan = plan._replace(commits_now=False)
         return _Leader(self, plan, peers, answer, claim)
 
-    def as_segment(self, reserve: Reserve) -> Reserve:
-        """Return the leader's reservation."""
+    def with_segment(self, reserve: Reserve) -> Reserve:
+        """Return the leader's reservation, restricted to its segment."""
         return segment_reserve(reserve, self._segments[-1], self._starts_in_s, self._imports)
 
     async def compute(self) -> None:
-        """Let the members compute their segments in prompt order; all are reserved by now.
+        """Have the members compute their segments in prompt order, once all are reserved.
 
         Raises
         ------
         SpanBroken
-            When one can't.
+            If a member fails.
         """
         segments = self._segments
-        self._around.events.emit(
+        self._services.events.emit(
             SpanPlanned(
-                self._asked.request_id,
+                self._span_request.request_id,
                 tuple(segment.vm for segment in segments),
                 tuple(segment.tokens for segment in segments),
             )
@@ -197,7 +197,7 @@
             try:
                 await member.compute()
             except SpanBroken as cause:
-                self._asked.failed_vms.add(member.place.vm)
+                self._span_request.failed_vms.add(member.place.vm)
                 self._broken = cause.detail
                 raise
             if self._broken:
@@ -205,22 +205,22 @@
             self._nursery.start_soon(self._watch, member)
 
     async def release(self) -> None:
-        """Free the members' memory, when the answer comes from elsewhere."""
+        """Free the memory of the members, because another attempt provides the answer."""
         self._is_released = True
         for member in self._members:
             await member.give_up()
 
-    async def unbroken(self, work: Callable[[], Awaitable[AttemptResult]]) -> AttemptResult:
-        """Do a part of the leader's work for as long as all members hold their memory."""
+    async def run_while_held(self, work: Callable[[], Awaitable[AttemptResult]]) -> AttemptResult:
+        """Run a step of the leader; cancel it when a member loses its memory."""
         with trio.CancelScope() as scope:
             self._scopes.append(scope)
             try:
                 return await work()
             except SpanBroken as cause:
-                return Unreached(cause.detail)
+                return Unreachable(cause.detail)
             finally:
                 self._scopes.remove(scope)
-        return Unreached(self._broken)
+        return Unreachable(self._broken)
 
     async def _watch(self, member: Member) -> None:
         try:
@@ -228,16 +228,16 @@
         except SpanBroken as cause:
             if self._is_released:
                 return
-            # The leader's engine reads the members' memory and doesn't notice that it is gone.
-            # What it generates from now on doesn't rest on the whole prompt, so it is stopped.
-            self._asked.failed_vms.add(member.place.vm)
+            # The leader's engine reads the memory of the members and doesn't detect its loss. Its
+            # further output wouldn't be based on the complete prompt, so the run is cancelled.
+            self._span_request.failed_vms.add(member.place.vm)
             self._broken = self._broken or cause.detail
             for scope in self._scopes:
                 scope.cancel()
 
 
-class _Gate:
-    """Stands where the leader claims its key, between reservation and commit."""
+class _SpanClaim:
+    """Key claim of the leader that runs the members between reservation and commit."""
 
     def __init__(self, span: SpanTry, claim: KeyClaim | None, time_left_s: Callable[[], float]):
         self._span = span
@@ -248,18 +248,18 @@
         if self._claim is not None:
             self._claim.release(site)
 
-    async def take(self, site: Site, limit_s: float, shown_tokens: int = 0) -> Placement | None:
+    async def acquire(self, site: Site, limit_s: float, shown_tokens: int = 0) -> Placement | None:
         await self._span.compute()
         if self._claim is None:
             return None
-        owner = await self._claim.take(site, min(limit_s, self._time_left_s()), shown_tokens)
+        owner = await self._claim.acquire(site, min(limit_s, self._time_left_s()), shown_tokens)
         if owner is not None:
             await self._span.release()
         return owner
 
 
 class _Leader(Attempt):
-    """The attempt at the last engine: the only one of a span that generates anything."""
+    """The attempt on the last engine, the only one of a span that generates output."""
 
     def __init__(
         self,
@@ -269,20 +269,20 @@
         answer: Answer,
         claim: KeyClaim | None,
     ) -> None:
-        gate = _Gate(span, claim, self._time_left_s)
-        super().__init__(plan, peers, answer, gate)  # type: ignore[arg-type]
+        span_claim = _SpanClaim(span, claim, self._time_left_s)
+        super().__init__(plan, peers, answer, span_claim)  # type: ignore[arg-type]
         self._span = span
 
     async def run(self) -> AttemptResult:
-        return self._concluded(await self._span.unbroken(super().run))
+        return self._failed_if_committed(await self._span.run_while_held(super().run))
 
     async def attach(self) -> AttemptResult:
         if self.is_adopted:
             return await super().attach()
-        return self._concluded(await self._span.unbroken(super().attach))
+        return self._failed_if_committed(await self._span.run_while_held(super().attach))
 
-    def _concluded(self, result: AttemptResult) -> AttemptResult:
-        if not (isinstance(result, Unreached) and self.is_committed):
+    def _failed_if_committed(self, result: AttemptResult) -> AttemptResult:
+        if not (isinstance(result, Unreachable) and self.is_committed):
             return result
         end = End(
             *(self.site.request_id, self.site.attempt),
@@ -292,9 +292,12 @@
         )
         return Failed(end)
 
-    def _runs_on(self) -> bool:
-        """Return whether the run goes on without this reader: never without its members."""
+    def _continues_without_reader(self) -> bool:
+        """Return whether the run continues without this reader.
+
+        The leader's own run never does, because it needs its members.
+        """
         return self.is_adopted
 
     def _reserve_message(self) -> Reserve:
-        return self._span.as_segment(super()._reserve_message())
+        return self._span.with_segment(super()._reserve_message())
--- a/packages/entry/tests/conftest.py
+++ b/packages/entry/tests/conftest.py
@@ -83,7 +83,7 @@
     def __init__(self, vm: str) -> None:
         self.vm = vm
         self.is_cut = False
-        self.has_number = True
+        self.has_free_stream = True
         self.up, self.down = _Pipe(), _Pipe()
 
     @property
@@ -94,7 +94,7 @@
         await trio.lowlevel.checkpoint()
         if self.is_cut:
             raise LinkCut("cut")
-        if not self.has_number:
+        if not self.has_free_stream:
             raise TooManyStreams("all streams are open")
         try:
             self.up.sender.send_nowait(message)
@@ -267,7 +267,7 @@
 
     def open_stream(self) -> FakeStream:
         stream = FakeStream(self._sidecar.vm)
-        stream.has_number = self._sidecar.has_streams_left
+        stream.has_free_stream = self._sidecar.has_streams_left
         self._nursery.start_soon(self._sidecar.serve, stream)
         return stream
 
