--- a/packages/entry/benchmarks/relay.py
+++ b/packages/entry/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""Measures what one entry process relays: tokens a second, processor time, memory and latency.
+"""Benchmark of the relay in one entry process: tokens per second, CPU time, memory and latency.
 
-Processes over loopback TCP: callers that read streams, an entry with its real HTTP server and
-links, and sidecars that play engine tokens out at a fixed pace. Run it without arguments.
+The processes communicate over loopback TCP: callers that read streams, an entry with its real HTTP
+server and links, and sidecars that emit tokens at a fixed rate. Run it without arguments.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 HOST = "127.0.0.1"
 HTTP_PORT, ENTRY_PORT, SIDECAR_PORT = 18_701, 18_702, 18_703
 SIDECARS = 5
-TOKEN_S = 0.031
-START_S = 3.0
+TOKEN_INTERVAL_S = 0.031
+STARTUP_S = 3.0
 EVENT = (
     b'data: {"id":"c","object":"chat.completion.chunk","choices":[{"delta":{"content":"w"}}]}\n\n'
 )
@@ -73,16 +73,16 @@
 
 
 class Figures(NamedTuple):
-    """What the callers saw."""
+    """Measurements by the callers."""
 
     tokens: int
     elapsed_s: float
     reads: int
-    """Pieces that the callers read; fewer than tokens when tokens left together."""
+    """Number of reads by the callers; fewer than tokens if several tokens arrive in one read."""
     first_ms: list[float]
-    """Time to the first data of each request, in milliseconds."""
+    """Time to first data of each request, in milliseconds."""
     whole: int
-    """Answers that ended whole."""
+    """Number of complete answers."""
 
 
 def _peers(port: int, role: str) -> PeerService:
@@ -92,7 +92,7 @@
 
 
 async def run_entry() -> None:
-    """Run the entry until the process is ended."""
+    """Run the entry until the process is terminated."""
     kernel = Kernel("e1", "dc")
     settings = EntrySettings(routing_policy="round-robin")
     kernel.add(_peers(ENTRY_PORT, "entry"))
@@ -104,14 +104,14 @@
 
 
 async def run_sidecar(number: int) -> None:
-    """Run a sidecar until the process is ended."""
+    """Run a sidecar until the process is terminated."""
     kernel = Kernel(f"s{number}", "dc")
     peers = kernel.add(_peers(SIDECAR_PORT + number, "sidecar"))
 
     async def serve(stream: Stream, message: Message) -> None:
         assert isinstance(message, Reserve)
         try:
-            await _play(stream, message, kernel.incarnation)
+            await _stream_tokens(stream, message, kernel.incarnation)
         except (LinkCut, StreamEnded):
             return
 
@@ -119,30 +119,30 @@
     await kernel.run()
 
 
-async def _play(stream: Stream, reserve: Reserve, incarnation: str) -> None:
+async def _stream_tokens(stream: Stream, reserve: Reserve, incarnation: str) -> None:
     own = (reserve.request_id, reserve.attempt)
     await stream.send(Reserved(*own, incarnation, 0.0, 1.0, 5.0))
-    got = 0
-    while got < reserve.body_size_bytes:
+    received_bytes = 0
+    while received_bytes < reserve.body_size_bytes:
         message = await stream.receive()
         if isinstance(message, Chunk):
-            got += len(message.data)
+            received_bytes += len(message.data)
         else:
             assert isinstance(message, Commit)
     start_s, sent, sequence = trio.current_time(), 0, 0
     while sent < reserve.max_output_tokens:
-        due = int((trio.current_time() - start_s) / TOKEN_S) + 1
+        due = int((trio.current_time() - start_s) / TOKEN_INTERVAL_S) + 1
         count = min(due, reserve.max_output_tokens) - sent
         if count > 0:
             await stream.send(Chunk(*own, sequence, count, EVENT * count))
             sent += count
             sequence += 1
-        await trio.sleep_until(start_s + sent * TOKEN_S)
+        await trio.sleep_until(start_s + sent * TOKEN_INTERVAL_S)
     await stream.send(End(*own, "completed", sequence, 200, output_tokens=sent))
 
 
-async def run_callers(port: int, streams: int, tokens: int, waves_s: float) -> Figures:
-    """Read that many streams at once."""
+async def run_callers(port: int, streams: int, tokens: int, ramp_s: float) -> Figures:
+    """Read ``streams`` streams concurrently, starting them over ``ramp_s`` seconds."""
     figures = {"tokens": 0, "reads": 0, "whole": 0}
     first_ms: list[float] = []
     body = SMALL_BODY[:-1] + f',"max_tokens":{tokens}}}'.encode()
@@ -151,7 +151,7 @@
         f"Authorization: Bearer k\r\nContent-Length: {len(body)}\r\n\r\n"
     ).encode()
 
-    async def one(delay_s: float) -> None:
+    async def read_stream(delay_s: float) -> None:
         await trio.sleep(delay_s)
         async with await trio.open_tcp_stream(HOST, port) as stream:
             start_s = time.perf_counter()
@@ -169,7 +169,7 @@
     start_s = time.perf_counter()
     async with trio.open_nursery() as nursery:
         for number in range(streams):
-            nursery.start_soon(one, waves_s * number / streams)
+            nursery.start_soon(read_stream, ramp_s * number / streams)
     elapsed_s = time.perf_counter() - start_s
     return Figures(figures["tokens"], elapsed_s, figures["reads"], first_ms, figures["whole"])
 
@@ -192,30 +192,33 @@
 
 
 def measure(streams: int, tokens: int) -> dict[str, Any]:
-    """Run the three processes and return the figures."""
+    """Start the entry and the sidecars, run the callers and return the figures."""
     started = [
         _start("entry"),
         *(_start("sidecar", number) for number in range(SIDECARS)),
     ]
     try:
-        time.sleep(START_S)
+        time.sleep(STARTUP_S)
         entry = started[0].pid
         idle_mb = _resident_mb(entry)
         warm = trio.run(run_callers, HTTP_PORT, 1, 5, 0.0)
-        alone = trio.run(run_callers, HTTP_PORT, 40, 2, 4.0)
+        unloaded = trio.run(run_callers, HTTP_PORT, 40, 2, 4.0)
         cpu_s = _cpu_s(entry)
-        seen = trio.run(run_callers, HTTP_PORT, streams, tokens, 1.0)
-        spent_s = _cpu_s(entry) - cpu_s
-        cuts = quantiles(alone.first_ms, n=20)
+        loaded = trio.run(run_callers, HTTP_PORT, streams, tokens, 1.0)
+        loaded_cpu_s = _cpu_s(entry) - cpu_s
+        first_ms_quantiles = quantiles(unloaded.first_ms, n=20)
         return {
             "streams": streams,
             "warm": warm.whole,
-            "whole": seen.whole,
-            "tokens_per_s": round(seen.tokens / seen.elapsed_s),
-            "entry_cores": round(spent_s / seen.elapsed_s, 2),
-            "tokens_per_core_s": round(seen.tokens / spent_s),
-            "tokens_per_read": round(seen.tokens / seen.reads, 2),
-            "first_ms_p50_p95_unloaded": [round(cuts[9], 2), round(cuts[18], 2)],
+            "whole": loaded.whole,
+            "tokens_per_s": round(loaded.tokens / loaded.elapsed_s),
+            "entry_cores": round(loaded_cpu_s / loaded.elapsed_s, 2),
+            "tokens_per_core_s": round(loaded.tokens / loaded_cpu_s),
+            "tokens_per_read": round(loaded.tokens / loaded.reads, 2),
+            "first_ms_p50_p95_unloaded": [
+                round(first_ms_quantiles[9], 2),
+                round(first_ms_quantiles[18], 2),
+            ],
             "entry_idle_mb": round(idle_mb, 1),
             "entry_loaded_mb": round(_resident_mb(entry), 1),
         }
@@ -227,7 +230,7 @@
 
 
 def main() -> None:
-    """Run one role, or all and print the figures."""
+    """Run one role, or run all of them and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("role", nargs="?", choices=("entry", "sidecar"))
     parser.add_argument("--number", type=int, default=0)
