--- a/packages/entry/tests/conftest.py
+++ b/packages/entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An entry's request path before scripted sidecars, on the mock clock."""
+"""Fixtures for tests of an entry's request path against scripted sidecars, with a mock clock."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class _Pipe:
-    """One direction of a stream; a cut loses what is in it."""
+    """One direction of a stream; messages in it are lost if the link is cut."""
 
     def __init__(self) -> None:
         self.sender, self.receiver = trio.open_memory_channel[Message](1000)
@@ -78,7 +78,7 @@
 
 
 class FakeStream:
-    """The entry's end of a stream; the script holds the other end."""
+    """The entry's end of a stream; the script controls the other end."""
 
     def __init__(self, vm: str) -> None:
         self.vm = vm
@@ -116,7 +116,7 @@
 
 
 class SidecarEnd:
-    """A script's end of a stream."""
+    """The end of a stream that a script controls."""
 
     def __init__(self, stream: FakeStream, log: list[Message]) -> None:
         self._stream = stream
@@ -135,7 +135,7 @@
                 raise StreamEnded("closed") from None
 
     def cut(self) -> None:
-        """Cut the link: neither end gets anything more."""
+        """Cut the link: neither end receives anything more."""
         self._stream.is_cut = True
         self._stream.down.sender.close()
         self._stream.up.sender.close()
@@ -155,7 +155,7 @@
 
 
 class FakeSidecar:
-    """A sidecar that does what its scripts say, one for each stream; then it serves well."""
+    """A sidecar that runs one script per stream, and behaves correctly once there are none left."""
 
     def __init__(self, vm: str) -> None:
         self.vm = vm
@@ -166,7 +166,7 @@
         self.scripts: list[Script] = []
         self.log: list[Message] = []
         self.ran: list[tuple[str, int]] = []
-        """Attempts that were run."""
+        """Attempts that have run."""
         self.states: dict[tuple[str, int], AttemptState] = {}
         self.report = LoadReport(
             models=(MODEL, "dossier@1"),
@@ -190,7 +190,7 @@
         return End(*own, outcome=outcome, chunks=count, **fields)
 
     def of(self, kind: type[Any]) -> list[Any]:
-        """Return the messages of a type that came."""
+        """Return the messages of a type that were received."""
         return [message for message in self.log if isinstance(message, kind)]
 
     async def serve(self, stream: FakeStream) -> None:
@@ -205,7 +205,7 @@
             stream.down.sender.close()
 
     async def behave(self, end: SidecarEnd, message: Message) -> None:
-        """Serve a stream as a good sidecar does."""
+        """Serve a stream as a correct sidecar does."""
         match message:
             case Reserve():
                 await self.accept(end, message)
@@ -216,7 +216,7 @@
                 await self.replay(end, message)
 
     async def accept(self, end: SidecarEnd, reserve: Reserve) -> bytes:
-        """Reserve, take the commit and the body."""
+        """Confirm the reservation, then receive the commit and the body."""
         own = (reserve.request_id, reserve.attempt)
         await end.send(Reserved(*own, self.incarnation, 0.1, 0.5, 5.0))
         if not reserve.commit_now:
@@ -227,7 +227,7 @@
         return await end.body(reserve.body_size_bytes)
 
     async def answer(self, end: SidecarEnd, reserve: Reserve) -> None:
-        """Run the attempt and answer it."""
+        """Run the attempt and send its answer."""
         own = (reserve.request_id, reserve.attempt)
         self.ran.append(own)
         words = self.words[reserve.shown_tokens :]
@@ -235,7 +235,7 @@
         self.states[own] = AttemptState.COMPLETED
 
     def reply(self, query: Query) -> QueryReply:
-        """Answer a query, voiding as asked."""
+        """Answer a query, and void the attempt if the query asks for it."""
         own = (query.request_id, query.attempt)
         if query.incarnation != self.incarnation:
             return QueryReply(*own, self.incarnation, AttemptState.OTHER_INCARNATION)
@@ -245,7 +245,7 @@
         return QueryReply(*own, self.incarnation, state)
 
     async def replay(self, end: SidecarEnd, attach: Attach) -> None:
-        """Give the rest of a committed attempt's answer."""
+        """Send the rest of the answer of a committed attempt."""
         own = (attach.request_id, attach.attempt)
         if own not in self.ran:
             self.ran.append(own)
@@ -323,14 +323,14 @@
 
 
 class Result(NamedTuple):
-    """What a caller got of a whole answer."""
+    """A complete answer as received by a caller."""
 
     status: int
     body: bytes
 
 
 class World:
-    """An entry before the sidecars ``s1`` and ``s2``, asked in that order."""
+    """An entry with the sidecars ``s1`` and ``s2``."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.sidecars = {vm: FakeSidecar(vm) for vm in ("s1", "s2")}
@@ -342,7 +342,7 @@
         self.path = self.kernel.add(RequestPath(settings))
 
     def request(self, **fields: Any) -> CallerRequest:
-        """Return a request, streamed and idempotent unless said otherwise."""
+        """Return a request, streamed and idempotent by default."""
         base = CallerRequest(
             customer=CUSTOMER,
             arrived_s=trio.current_time(),
@@ -357,12 +357,12 @@
         return base._replace(**fields)
 
     def booking(self, **fields: Any) -> CallerRequest:
-        """Return a non-idempotent call of a plain service."""
+        """Return a non-idempotent call to a plain service."""
         call = {"operation": "POST /crews", "model": "", "service": "bookings"}
         return self.request(**{**call, "is_streamed": False, "is_idempotent": False, **fields})
 
     async def ask(self, request: CallerRequest) -> Result:
-        """Return the whole answer; raises `Refusal`."""
+        """Return the complete answer; raises `Refusal`."""
         async with self.path.open(request) as answer:
             body = b"".join([data async for data in answer])
             return Result(answer.head.status, body)
@@ -379,13 +379,13 @@
 
 @pytest.fixture
 def http_settings() -> HttpSettings | None:
-    """The HTTP server's settings; a module that wants one overrides this."""
+    """Settings of the HTTP server; modules that need one override this fixture."""
     return None
 
 
 @pytest.fixture
 def claims() -> Service | None:
-    """The service that keeps claims; a module that wants one overrides this."""
+    """The claim service; modules that need one override this fixture."""
     return None
 
 
--- a/packages/entry/tests/test_admin.py
+++ b/packages/entry/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration interface, over a whole deployment on loopback."""
+"""Tests of the administration interface against a whole deployment on loopback."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 class TestAdminInterface:
-    """What an operator sees through one entry."""
+    """The responses that an operator gets from one entry."""
 
-    async def test_nobody_without_a_token_is_let_in(self):
+    async def test_call_without_a_valid_token_is_rejected(self):
         async with _operator("wrong") as (client, _):
             for path in ("/admin/status", "/admin/events", "/admin/metrics", "/admin/bundle"):
                 assert (await client.get(path)).status_code == 401
             roll = await client.post("/admin/bundle/roll", content=b"{}")
             assert roll.status_code == 401
 
-    async def test_status_shows_every_process_and_a_dead_one_as_silent(self):
+    async def test_status_shows_every_process_and_the_problem_of_a_dead_one(self):
         async with _operator(ADMIN_TOKEN) as (client, deployment):
             rows = await _status_rows(client)
             assert [(row["vm"], row["problem"]) for row in rows] == [
--- a/packages/entry/tests/test_claiming.py
+++ b/packages/entry/tests/test_claiming.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: one run for a key, whichever entry the repeats come through."""
+"""Idempotency keys: a key is run once, whichever entry receives repeated requests."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from sassafrastally.serving.refusals import Refusal
 from sassafrastally.wire.messages import Cancel, Commit, Query, QueryReply, Reserve
 
-THREE = b'data: {"w":"ha"}\n\ndata: {"w":"ho"}\n\ndata: {"w":"hi"}\n\n'
+THREE_EVENTS = b'data: {"w":"ha"}\n\ndata: {"w":"ho"}\n\ndata: {"w":"hi"}\n\n'
 OWNER = Placement("s1", Incarnation("life-1-of-s1"), RequestId("0" * 31 + "9"), 1)
 OWN = (OWNER.request_id, OWNER.attempt)
 
 
 class FakeClaims(Service):
-    """Claims in memory; the world's sidecars are the placements."""
+    """In-memory claims; the placements are on the sidecars of the fixture."""
 
     name: ClassVar[str] = "claims"
 
@@ -67,7 +67,7 @@
         return ClaimResult(ClaimState.HELD, holder)
 
     def hold(self) -> None:
-        """Let another request have the key of the tests, for any body."""
+        """Give the key of the tests to another request, with any body."""
         self.held["yeso-justo", "k"] = (b"", OWNER)
 
 
@@ -99,7 +99,7 @@
             await sidecar.answer(end, reserve)
 
         world.s1.scripts, world.s2.scripts = [script], [script]
-        assert (await world.ask(world.booking(key="k"))).body == THREE
+        assert (await world.ask(world.booking(key="k"))).body == THREE_EVENTS
         assert order == ["reserved after 0 claims", "committed after 1 claims"]
 
     async def test_unavailable_claims_refuse_and_release(
@@ -107,14 +107,14 @@
     ) -> None:
         claims.is_down = True
         refusal = await refusal_of(world, world.booking(key="k"))
-        # Unknown, since nobody can rule out an earlier request of the key; this one has not run.
+        # Unknown, since an earlier request of the key can't be ruled out; this one has not run.
         assert (refusal.kind.code, refusal.outcome) == ("claims-unavailable", Outcome.UNKNOWN)
         assert refusal.figures.detail.startswith("This request has not run;")
         await trio.sleep(0.1)
         assert not all_of(world, Commit)
         assert world.ran() == 0
 
-    async def test_same_key_with_another_body_is_told(
+    async def test_same_key_with_another_body_is_refused(
         self, world: Any, claims: FakeClaims, autojump_clock: Any
     ) -> None:
         await world.ask(world.booking(key="k"))
@@ -122,11 +122,11 @@
         assert (refusal.kind.code, refusal.outcome) == ("key-reused", Outcome.NOT_RUN)
         assert world.ran() == 1
 
-    async def test_claimed_run_goes_on_when_its_caller_leaves(
+    async def test_claimed_run_continues_when_its_caller_disconnects(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A phone loses its connection, repeats the booking with its key, and reads that it
-        failed: the entry had cancelled the run because the first connection was gone."""
+        """A caller loses its connection and repeats the booking with its key. If the entry
+        cancelled the run for the lost connection, the repeated request would fail."""
 
         async def hang(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await sidecar.accept(end, reserve)
@@ -141,7 +141,8 @@
 
 
 class TestRefusedBeforeItsClaim:
-    """Promise: when a citizen is told "not run", it truly was not run."""
+    """A request that is refused as "not run" hasn't run, and neither has an earlier one of its
+    key."""
 
     @pytest.mark.parametrize(
         ("holds", "outcome"), [(True, Outcome.UNKNOWN), (False, Outcome.NOT_RUN)]
@@ -149,8 +150,8 @@
     async def test_outcome_covers_earlier_requests_of_the_key(
         self, world: Any, claims: FakeClaims, autojump_clock: Any, holds: bool, outcome: Outcome
     ) -> None:
-        """A booking is made twice: the first request ran, its sidecar died, the repeat found no
-        replica and was told "not run", so the caller booked again under another key."""
+        """A first request ran and its sidecar died. If the repeated request, which finds no
+        replica, were refused as "not run", the caller would book again under another key."""
         if holds:
             claims.hold()
         for sidecar in (world.s1, world.s2):
@@ -158,30 +159,31 @@
         refusal = await refusal_of(world, world.booking(key="k"))
         assert (refusal.kind.code, refusal.outcome) == ("no-replica", outcome)
 
-    async def test_full_entry_does_not_speak_for_the_key(
+    async def test_overloaded_entry_reports_unknown_for_a_request_with_a_key(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """As above, but the repeat met an entry that was at its bound and never read the key."""
+        """As above, but the entry refuses the repeated request at its limit, without a key
+        lookup."""
         world.path._settings = world.path._settings._replace(max_open_requests=0)
         assert (await refusal_of(world, world.booking(key="k"))).outcome == Outcome.UNKNOWN
         assert (await refusal_of(world, world.booking())).outcome == Outcome.NOT_RUN
 
 
 class TestKeyOfAnotherRequest:
-    async def test_repeat_joins_the_first_run(
+    async def test_repeated_request_attaches_to_the_first_run(
         self, world: Any, claims: FakeClaims, autojump_clock: Any
     ) -> None:
-        """Two crews are sent to one house: the caller repeated the booking through another entry
-        while the first run was under way, and both ran."""
+        """A caller repeats a booking through another entry while the first run is in progress. If
+        both ran, two crews would be sent to one house."""
         claims.hold()
         world.s1.states[OWN] = AttemptState.COMMITTED
         world.s1.ran.append(OWN)
-        assert (await world.ask(world.booking(key="k"))).body == THREE
+        assert (await world.ask(world.booking(key="k"))).body == THREE_EVENTS
         assert world.ran() == 1
         await trio.sleep(0.1)
         assert not all_of(world, Commit)
 
-    async def test_both_at_once_run_once(
+    async def test_concurrent_requests_run_once(
         self, world: Any, claims: FakeClaims, autojump_clock: Any
     ) -> None:
         bodies: list[bytes] = []
@@ -192,16 +194,17 @@
         async with trio.open_nursery() as nursery:
             for _ in range(5):
                 nursery.start_soon(ask)
-        assert bodies == [THREE] * 5
+        assert bodies == [THREE_EVENTS] * 5
         assert world.ran() == 1
 
-    async def test_owner_proved_void_is_replaced(
+    async def test_voided_owner_is_replaced(
         self, world: Any, claims: FakeClaims, autojump_clock: Any
     ) -> None:
-        """The first entry died after its claim and before its commit. The key must not be dead
-        for as long as claims are kept, nor may the run begin while the owner could still."""
+        """The first entry dies between its claim and its commit. The key must not stay blocked
+        until the claim expires, but the new run must not start while the owner could still
+        commit."""
         claims.hold()
-        assert (await world.ask(world.booking(key="k"))).body == THREE
+        assert (await world.ask(world.booking(key="k"))).body == THREE_EVENTS
         assert world.s1.states[OWN] == AttemptState.VOIDED
         assert world.ran() == 1
 
@@ -217,7 +220,7 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(commit_later)
-            assert (await world.ask(world.booking(key="k"))).body == THREE
+            assert (await world.ask(world.booking(key="k"))).body == THREE_EVENTS
         assert not any(query.void_if_uncommitted for query in world.s1.of(Query))
         assert world.s1.ran == [OWN]
 
@@ -230,7 +233,7 @@
         assert (refusal.kind.code, refusal.outcome) == ("outcome-unknown", Outcome.UNKNOWN)
         assert world.ran() == 0
 
-    async def test_failed_owner_is_told_and_not_repeated(
+    async def test_failure_of_the_owner_is_reported_and_not_retried(
         self, world: Any, claims: FakeClaims, autojump_clock: Any
     ) -> None:
         claims.hold()
--- a/packages/entry/tests/test_execution.py
+++ b/packages/entry/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""What becomes of a request when sidecars refuse, fail or can't be reached."""
+"""Execution of requests when sidecars refuse, fail or can't be reached."""
 
 from __future__ import annotations
 
@@ -49,17 +49,19 @@
         assert 29.0 < commit.time_limit_s <= 30.0
         assert commit.incarnation.startswith("life-1")
 
-    async def test_ready_chunks_leave_as_one_piece(self, world: Any, autojump_clock: Any) -> None:
+    async def test_ready_chunks_are_read_as_one_piece(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
         async with world.path.open(world.request()) as answer:
             await trio.sleep(0.1)
             assert [data async for data in answer] == [THREE_EVENTS]
 
-    async def test_slow_caller_holds_the_sidecar_back_but_not_the_time_limit(
+    async def test_slow_caller_causes_backpressure_but_does_not_suspend_the_time_limit(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A caller stops reading. Its answer fills the buffer and the reader of the sidecar
-        waits. Were the time limit checked where the caller reads, the engine would keep the
-        run's memory for as long as the caller pleases."""
+        """A caller stops reading, so the buffer fills and the relay from the sidecar blocks. If the
+        time limit were checked only when the caller reads, the engine would hold the memory of the
+        run indefinitely."""
 
         async def flood(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await sidecar.accept(end, reserve)
@@ -75,7 +77,7 @@
             assert len(world.s1.of(Cancel) + world.s2.of(Cancel)) == 1
 
 
-class TestOwnAndWholeAnswer:
+class TestAnswerIntegrity:
     @pytest.mark.parametrize(
         "first",
         [
@@ -86,11 +88,11 @@
             ),
         ],
     )
-    async def test_chunks_that_are_not_next_are_dropped(
+    async def test_unexpected_chunks_are_dropped(
         self, world: Any, autojump_clock: Any, first: Any
     ) -> None:
-        """A caller sees words twice or words of someone else's answer, when late chunks of an
-        abandoned attempt arrive on a stream that was joined anew."""
+        """Late chunks of an abandoned attempt can arrive on a reattached stream. Relaying them
+        would duplicate tokens or mix in another answer."""
         script = sending(
             first, lambda s, own: s.chunks(own, s.words), lambda s, own: [s.end(own, 3)]
         )
@@ -106,22 +108,22 @@
             pytest.param(lambda s, own: [], id="no end mark"),
         ],
     )
-    async def test_broken_answer_is_fetched_whole_and_never_shown_short(
+    async def test_incomplete_answer_is_fetched_again_and_never_truncated(
         self, world: Any, autojump_clock: Any, rest: Any
     ) -> None:
-        """The caller gets an answer that lacks a piece and looks complete: a crew list without
-        its last line. The sidecar's stream lost chunks or ended without its end mark."""
+        """A sidecar's stream loses chunks or ends without an end mark. Without a check the caller
+        would get a truncated answer that looks complete."""
         script = sending(lambda s, own: s.chunks(own, s.words[:1]), rest)
         world.s1.scripts, world.s2.scripts = [script], [script]
         request = world.request(prompt_tokens=5_000)
         assert (await world.ask(request)).body == THREE_EVENTS
         assert world.s1.of(Attach) + world.s2.of(Attach)
 
-    async def test_answer_that_stays_broken_is_a_failure(
+    async def test_answer_that_stays_incomplete_is_a_failure(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """The same, but the sidecar repeats the wrong count each time it is asked. Taken for
-        whole after some tries, it would be the short answer again."""
+        """As above, but the sidecar repeats the wrong count on every attach. Accepting the answer
+        after some tries would again truncate it."""
 
         async def wrong(sidecar: Any, end: Any, message: Any) -> None:
             if isinstance(message, Query):
@@ -140,31 +142,32 @@
     async def test_answer_no_longer_kept_is_not_an_empty_success(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """After a cut the entry joins a finished run whose answer was let go meanwhile. The end
-        mark counts no chunks and says completed: taken by its count it is an empty answer."""
+        """After a lost link the entry attaches to a finished run whose answer was discarded in the
+        meantime. The end mark says completed with 0 chunks; by the count alone it would pass as a
+        complete, empty answer."""
 
-        async def let_go(sidecar: Any, end: Any, attach: Attach) -> None:
+        async def answer_discarded(sidecar: Any, end: Any, attach: Attach) -> None:
             await end.send(sidecar.end(own_of(attach), 0, code="answer-not-kept"))
 
         for sidecar in (world.s1, world.s2):
-            sidecar.scripts = [cut_after_commit, type(sidecar).behave, let_go]
+            sidecar.scripts = [cut_after_commit, type(sidecar).behave, answer_discarded]
         refusal = await refusal_of(world, world.booking())
         assert refusal.kind.code == "answer-not-kept"
         assert refusal.outcome == Outcome.COMPLETED
 
 
 class TestRefusals:
-    async def test_next_candidate_is_asked_at_once(self, world: Any, autojump_clock: Any) -> None:
+    async def test_next_candidate_is_tried_at_once(self, world: Any, autojump_clock: Any) -> None:
         world.s1.scripts = world.s2.scripts = [refusing("memory-full", retry_after_s=4.0)]
         started_s = trio.current_time()
         assert (await world.ask(world.request())).body == THREE_EVENTS
         assert trio.current_time() == started_s
 
-    async def test_least_busy_is_asked_again_when_all_are_busy(
+    async def test_least_busy_is_tried_again_when_all_are_busy(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A request is refused although every replica would serve it in time: each kept to the
-        bound on the wait that routing had set, and none was asked without it."""
+        """Every replica could serve the request in time, but each refuses it for the wait limit
+        that routing set. The request fails unless one of them is tried again without the limit."""
 
         def busy(wait_s: float) -> Any:
             async def script(sidecar: Any, end: Any, reserve: Reserve) -> None:
@@ -177,7 +180,7 @@
         assert len(world.s1.of(Reserve)) == 1
         assert [reserve.max_wait_s for reserve in world.s2.of(Reserve)][1:] == [0.0]
 
-    async def test_refused_everywhere_is_told_at_once_with_the_first_return(
+    async def test_refusal_by_all_is_reported_at_once_with_the_shortest_retry_delay(
         self, world: Any, autojump_clock: Any
     ) -> None:
         world.s1.scripts = [refusing("memory-full", retry_after_s=4.0, limit=10, measured=12)]
@@ -190,9 +193,7 @@
         assert trio.current_time() == started_s
         assert world.ran() == 0
 
-    async def test_refused_after_commit_goes_elsewhere(
-        self, world: Any, autojump_clock: Any
-    ) -> None:
+    async def test_refused_after_commit_fails_over(self, world: Any, autojump_clock: Any) -> None:
         async def script(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await end.send(Reserved(*own_of(reserve), sidecar.incarnation, 0.1, 0.5, 5.0))
             await end.receive()
@@ -205,8 +206,8 @@
     async def test_not_run_of_a_retry_does_not_cover_the_first_attempt(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A caller reads "not run" and books again by hand, though the first attempt had run and
-        failed: the retry was refused, and its outcome was passed on for the whole request."""
+        """The first attempt runs and fails, and the retry is refused. If the outcome of the retry,
+        "not run", were reported for the request, the caller might book again by hand."""
 
         async def fail(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await sidecar.accept(end, reserve)
@@ -226,7 +227,7 @@
         refusal = await refusal_of(world, world.request(model="unknown"))
         assert (refusal.kind.code, refusal.outcome) == ("no-replica", Outcome.NOT_RUN)
 
-    async def test_leaving_sidecar_gets_no_work(self, world: Any, autojump_clock: Any) -> None:
+    async def test_leaving_sidecar_gets_no_requests(self, world: Any, autojump_clock: Any) -> None:
         world.membership.leaving.add("s1")
         for _ in range(4):
             await world.ask(world.request())
@@ -234,15 +235,13 @@
         assert len(world.s2.ran) == 4
 
 
-class TestCutOfIdempotentRequests:
-    async def test_unreachable_sidecar_is_passed_over(
-        self, world: Any, autojump_clock: Any
-    ) -> None:
+class TestLostLinkOfIdempotentRequests:
+    async def test_unreachable_sidecar_is_skipped(self, world: Any, autojump_clock: Any) -> None:
         world.s1.is_down = True
         for _ in range(3):
             assert (await world.ask(world.request())).body == THREE_EVENTS
 
-    async def test_link_with_all_streams_taken_is_passed_over(
+    async def test_link_with_all_streams_in_use_is_skipped(
         self, world: Any, autojump_clock: Any
     ) -> None:
         world.s1.has_streams_left = False
@@ -250,37 +249,39 @@
             assert (await world.ask(world.request())).body == THREE_EVENTS
         assert not world.s1.log
 
-    async def test_resumed_after_the_shown_tokens(self, world: Any, autojump_clock: Any) -> None:
-        """Two words are on the caller's screen when the sidecar dies. Begun anew, the other engine
-        would show them again or others in their place."""
+    async def test_retry_resumes_after_the_tokens_already_sent(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
+        """A sidecar dies after two tokens were sent to the caller. If the other engine started from
+        the beginning, it would repeat them or send different ones."""
 
-        async def gone(sidecar: Any, end: Any, query: Query) -> None:
+        async def replaced(sidecar: Any, end: Any, query: Query) -> None:
             state = AttemptState.OTHER_INCARNATION
             await end.send(QueryReply(*own_of(query), "life-2", state))
 
-        world.s1.scripts = world.s2.scripts = [cut_after_two, gone]
+        world.s1.scripts = world.s2.scripts = [cut_after_two, replaced]
         request = world.request(prompt_tokens=5_000)
         assert (await world.ask(request)).body == THREE_EVENTS
         resumed = [r for r in world.s1.of(Reserve) + world.s2.of(Reserve) if r.shown_tokens]
         assert [(r.shown_tokens, r.attempt) for r in resumed] == [(2, 2)]
 
-    async def test_passing_refusal_does_not_end_a_shown_answer(
+    async def test_transient_refusal_does_not_end_a_started_answer(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """Two words are on the screen, ten minutes are left, and the answer ends as failed after a
-        tenth of a second: the only other replica was full at that moment."""
+        """Two tokens were sent when the link is lost, and the only other replica is full for 0.1 s.
+        The answer must not fail while most of the time limit is left."""
 
-        async def gone(sidecar: Any, end: Any, query: Query) -> None:
+        async def replaced(sidecar: Any, end: Any, query: Query) -> None:
             state = AttemptState.OTHER_INCARNATION
             await end.send(QueryReply(*own_of(query), "life-2", state))
 
         async def full(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await end.send(Refused(*own_of(reserve), "memory-full", retry_after_s=0.1))
 
-        world.s1.scripts = world.s2.scripts = [cut_after_two, gone, full]
+        world.s1.scripts = world.s2.scripts = [cut_after_two, replaced, full]
         assert (await world.ask(world.request(prompt_tokens=5_000))).body == THREE_EVENTS
 
-    async def test_same_run_is_joined_after_a_short_cut(
+    async def test_same_run_is_reattached_after_a_short_cut(
         self, world: Any, autojump_clock: Any
     ) -> None:
         world.s1.scripts, world.s2.scripts = [cut_after_two], [cut_after_two]
@@ -290,7 +291,9 @@
         assert attach.from_sequence == 2
         assert world.ran() == 1
 
-    async def test_retries_are_bounded_by_attempts(self, world: Any, autojump_clock: Any) -> None:
+    async def test_retries_are_limited_by_max_attempts(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
         async def fail(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await sidecar.accept(end, reserve)
             sidecar.ran.append(own_of(reserve))
@@ -304,17 +307,17 @@
 
 
 class TestNonIdempotentRequests:
-    async def test_cut_before_commit_goes_elsewhere(self, world: Any, autojump_clock: Any) -> None:
+    async def test_cut_before_commit_fails_over(self, world: Any, autojump_clock: Any) -> None:
         world.s1.scripts = world.s2.scripts = [cut_before_commit]
         assert (await world.ask(world.booking())).status == 200
         assert world.ran() == 1
 
-    async def test_commit_that_never_arrived_is_voided_then_goes_elsewhere(
+    async def test_commit_that_never_arrived_is_voided_before_failover(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A crew would be sent twice: the link was cut while the commit was on its way, and the
-        entry went to another sidecar while the first one could still receive it. So the first
-        one must say first that it never will."""
+        """The link is lost while the commit is in transit. If the entry failed over while the first
+        sidecar could still receive the commit, the booking would run twice. So the first sidecar
+        must confirm that it voided the attempt."""
         world.s1.scripts, world.s2.scripts = [cut_instead_of_commit], []
         while not world.s1.of(Query):
             world.s1.scripts = world.s1.scripts or [cut_instead_of_commit]
@@ -325,7 +328,7 @@
         assert not world.s1.ran or own_of(query) not in world.s1.ran
 
     @pytest.mark.parametrize("script", [cut_after_commit, cut_after_two])
-    async def test_cut_after_commit_joins_the_run(
+    async def test_cut_after_commit_reattaches_to_the_run(
         self, world: Any, autojump_clock: Any, script: Any
     ) -> None:
         world.s1.scripts, world.s2.scripts = [script], [script]
@@ -333,24 +336,26 @@
         assert world.ran() == 1
         assert len(world.s1.of(Reserve) + world.s2.of(Reserve)) == 1
 
-    async def test_refused_joining_is_no_proof(self, world: Any, autojump_clock: Any) -> None:
-        """A booking is made twice: the entry asked to join its run again, the sidecar turned that
-        down for a moment, and the entry read it as "the attempt was refused"."""
+    async def test_refused_attach_is_no_proof_of_not_run(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
+        """A sidecar temporarily refuses an attach. If the entry took that as a refusal of the
+        attempt, the booking would run twice."""
 
-        async def turn_down(sidecar: Any, end: Any, attach: Attach) -> None:
+        async def refuse_attach(sidecar: Any, end: Any, attach: Attach) -> None:
             await end.send(Refused(*own_of(attach), "overloaded"))
 
         for sidecar in (world.s1, world.s2):
-            sidecar.scripts = [cut_after_two, type(sidecar).behave, turn_down]
+            sidecar.scripts = [cut_after_two, type(sidecar).behave, refuse_attach]
         assert (await world.ask(world.booking())).body == THREE_EVENTS
         assert world.ran() == 1
         assert len(world.s1.of(Reserve) + world.s2.of(Reserve)) == 1
 
-    async def test_refused_as_already_committed_is_no_proof(
+    async def test_refused_as_already_committed_is_no_proof_of_not_run(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A booking is made twice: the sidecar got its commit a second time and refused that one
-        as unknown, and the entry read every refusal as "not run"."""
+        """A sidecar receives a commit twice and refuses the second one as unknown. If the entry
+        took every refusal as "not run", the booking would run twice."""
 
         async def refuse_second(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await end.send(Refused(*own_of(reserve), "outcome-unknown", detail="already committed"))
@@ -361,11 +366,11 @@
         assert refusal.outcome == Outcome.UNKNOWN
         assert len(world.s1.of(Reserve) + world.s2.of(Reserve)) == 1
 
-    async def test_other_incarnation_is_unknown_and_never_elsewhere(
+    async def test_other_incarnation_is_unknown_and_never_fails_over(
         self, world: Any, autojump_clock: Any
     ) -> None:
-        """A booking is made twice: the sidecar was replaced after the commit, the new one knows
-        nothing, and its "absent" was taken for "not run"."""
+        """A sidecar is replaced after the commit, and the new one has no record of the attempt. If
+        its "absent" were taken as "not run", the booking would run twice."""
 
         async def restart(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await cut_after_commit(sidecar, end, reserve)
@@ -391,14 +396,16 @@
         assert trio.current_time() == pytest.approx(started_s + 8.0)
         assert len(world.s1.of(Reserve) + world.s2.of(Reserve)) == 1
 
-    async def test_failed_run_is_not_repeated(self, world: Any, autojump_clock: Any) -> None:
+    async def test_failed_run_is_not_retried(self, world: Any, autojump_clock: Any) -> None:
         script = sending(lambda s, own: [s.end(own, 0, "failed", code="backend-failed")])
         world.s1.scripts, world.s2.scripts = [script], [script]
         refusal = await refusal_of(world, world.booking())
         assert (refusal.kind.code, refusal.outcome) == ("backend-failed", Outcome.FAILED)
         assert world.ran() == 1
 
-    async def test_unknown_end_is_told_as_unknown(self, world: Any, autojump_clock: Any) -> None:
+    async def test_unknown_end_is_reported_as_unknown(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
         script = sending(lambda s, own: [s.end(own, 0, "unknown")])
         world.s1.scripts, world.s2.scripts = [script], [script]
         refusal = await refusal_of(world, world.booking())
--- a/packages/entry/tests/test_execution_limits.py
+++ b/packages/entry/tests/test_execution_limits.py
@@ -1,4 +1,4 @@
-"""Time limits, bounds and stopping of requests in progress."""
+"""Time limits, entry limits and shutdown with requests in progress."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
         assert (refusal.kind.code, refusal.outcome) == ("time-limit-passed", Outcome.NOT_RUN)
         assert len(world.s1.of(Cancel) + world.s2.of(Cancel)) == 1
 
-    async def test_given_up_reservation_is_released(self, world: Any, autojump_clock: Any) -> None:
-        """Memory stays reserved on a frozen sidecar: the entry asked elsewhere after its timeout
-        and never took the first reservation back."""
+    async def test_abandoned_reservation_is_released(self, world: Any, autojump_clock: Any) -> None:
+        """A frozen sidecar doesn't answer a reservation in time and the entry tries another one. If
+        it didn't cancel the first reservation, memory would stay reserved there."""
         world.s1.scripts, world.s2.scripts = [silent], []
         for _ in range(2):
             assert (await world.ask(world.booking())).status == 200
         assert len(world.s1.of(Cancel)) == 1
 
-    async def test_no_pause_reaches_past_the_limit(self, world: Any, autojump_clock: Any) -> None:
+    async def test_no_backoff_exceeds_the_time_limit(self, world: Any, autojump_clock: Any) -> None:
         hint = {"code": "backend-failed", "retry_after_s": 10.0}
         script = sending(lambda s, own: [s.end(own, 0, "failed", **hint)])
         world.s1.scripts, world.s2.scripts = [script], [script]
@@ -69,7 +69,7 @@
         assert refusal.outcome == Outcome.NOT_RUN
         assert trio.current_time() <= started_s + 0.2
 
-    async def test_caller_that_leaves_cancels_its_run(
+    async def test_disconnect_of_the_caller_cancels_its_run(
         self, world: Any, autojump_clock: Any
     ) -> None:
         world.s1.scripts, world.s2.scripts = [hang], [hang]
@@ -99,7 +99,7 @@
 
 
 class TestStopping:
-    async def test_requests_in_progress_end_whole_and_new_ones_are_refused(
+    async def test_requests_in_progress_complete_and_new_ones_are_refused(
         self, world: Any, autojump_clock: Any
     ) -> None:
         async def slow(sidecar: Any, end: Any, reserve: Reserve) -> None:
@@ -123,7 +123,9 @@
             assert (refusal.kind.code, refusal.outcome) == ("stopping", Outcome.NOT_RUN)
         assert results[0].body == THREE_EVENTS
 
-    async def test_second_signal_bounds_what_is_left(self, world: Any, autojump_clock: Any) -> None:
+    async def test_second_signal_shortens_the_time_left(
+        self, world: Any, autojump_clock: Any
+    ) -> None:
         world.s1.scripts, world.s2.scripts = [hang], [hang]
         started_s = trio.current_time()
         async with trio.open_nursery() as nursery:
@@ -134,7 +136,9 @@
         assert trio.current_time() == pytest.approx(started_s + 11.0)
 
 
-async def test_sidecar_that_closes_is_no_success(world: Any, autojump_clock: Any) -> None:
+async def test_stream_closed_by_the_sidecar_is_not_taken_as_success(
+    world: Any, autojump_clock: Any
+) -> None:
     async def close(sidecar: Any, end: Any, reserve: Reserve) -> None:
         await sidecar.accept(end, reserve)
         raise StreamEnded("closed")
--- a/packages/entry/tests/test_fuzz.py
+++ b/packages/entry/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""What faces callers and operators' files takes any bytes: a coded error, never a crash."""
+"""Fuzz tests: arbitrary calls and files of operators cause a coded error, never a crash."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     database=None,
     deadline=None,
     suppress_health_check=list(HealthCheck),
-    # Shrinking runs whole deployments again and again; the first example found says enough.
+    # Shrinking would run a whole deployment many times; the first failing example is sufficient.
     phases=(Phase.explicit, Phase.generate),
 )
 
--- a/packages/entry/tests/test_http.py
+++ b/packages/entry/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server over loopback: connections, stopping, callers that leave."""
+"""The HTTP server over loopback: connections, shutdown and disconnects of callers."""
 
 from __future__ import annotations
 
@@ -54,12 +54,12 @@
 
 
 class TestConnections:
-    async def test_connection_is_closed_after_the_answer_when_asked_for(
+    async def test_connection_is_closed_after_the_answer_on_request(
         self, server: HttpService
     ) -> None:
-        """A client that sent "Connection: close" and reads to the end of the connection hangs
-        after the whole answer: on the disconnect that the server reports to itself, the task
-        that closes the connection was cancelled half-way."""
+        """A client that sends "Connection: close" and reads until the end of the connection would
+        hang after the complete answer if the disconnect event that the server raises itself
+        cancelled the task that closes the connection."""
         with trio.fail_after(5):
             stream = await trio.open_tcp_stream("127.0.0.1", server.bound_address.port)
             async with stream:
@@ -67,7 +67,7 @@
                 data = b"".join([part async for part in stream])
         assert data.endswith(b"data: [DONE]\n\n\r\n0\r\n\r\n")
 
-    async def test_caller_that_leaves_cancels_its_run(
+    async def test_disconnect_of_the_caller_cancels_its_run(
         self, server: HttpService, world: Any
     ) -> None:
         world.s1.scripts, world.s2.scripts = [one_word_then_wait], [one_word_then_wait]
@@ -80,7 +80,9 @@
                 await trio.sleep(0.02)
         assert world.kernel.events.records({"outcome": "failed"})
 
-    async def test_body_is_counted_while_it_comes(self, server: HttpService, world: Any) -> None:
+    async def test_body_size_is_checked_while_it_is_received(
+        self, server: HttpService, world: Any
+    ) -> None:
         async def endless() -> Any:
             for _ in range(40):
                 yield b"x" * 10_000
@@ -92,10 +94,10 @@
 
 
 class TestStopping:
-    async def test_nothing_is_cut_off(self, server: HttpService, world: Any) -> None:
-        """A clerk's answer ends in the middle when an entry is replaced: the process left after
-        its signal while the answer was still streaming, or refused requests that the balancer
-        sent before it had seen that the entry isn't ready."""
+    async def test_shutdown_truncates_no_answer(self, server: HttpService, world: Any) -> None:
+        """An entry is replaced. Answers would be truncated if the process exited while they are
+        still streaming, and requests would fail if it refused those that the load balancer sends
+        before it has noticed that the entry isn't ready."""
         release = trio.Event()
 
         async def held(sidecar: Any, end: Any, reserve: Reserve) -> None:
--- a/packages/entry/tests/test_refusal_truth.py
+++ b/packages/entry/tests/test_refusal_truth.py
@@ -1,7 +1,7 @@
-"""Each code of the catalogue, provoked through the real path, was true when it was given.
+"""Each refusal code, triggered through the real request path, is correct when it is returned.
 
-Each case looks from the outside: at what the backend servers counted, at the customer's own use,
-and at what the same call gives once it comes back as it was told.
+Each case checks from the outside: the counts of the backend servers, the customer's own usage, and
+the result of the same call when it is retried after the stated delay.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
         assert set(CASES) == set(REFUSALS)
 
     @pytest.mark.parametrize("code", sorted(REFUSALS))
-    async def test_reason_was_true(self, code: str, autojump_clock: Any) -> None:
+    async def test_refusal_is_correct(self, code: str, autojump_clock: Any) -> None:
         async with open_world() as world:
             await CASES[code](world)
 
@@ -118,8 +118,8 @@
 
 @case("prompt-too-long")
 async def _prompt_too_long(world: World) -> None:
-    """A caller is told that its prompt is too long, though the engine would have taken it: its
-    text has fewer tokens than one for every four bytes."""
+    """A text can have fewer tokens than one for every four bytes. A check by that estimate would
+    refuse a prompt as too long that the engine accepts."""
     told = await world.call(prompt(model="tiny", answer=1) | {"prompt": [7] * 1_000})
     world.refused(told, "prompt-too-long")
     assert (told.problem["limit"], told.problem["measured"]) == (1_000, 1_001)
@@ -157,8 +157,8 @@
 
 @case("rate-limit")
 async def _rate_limit(world: World) -> None:
-    """The figures are the customer's own: what it used and asks for, less what the rate has paid
-    off, over the time in which its burst comes back."""
+    """The figures are those of the customer: tokens used and requested, minus those refilled at its
+    rate, divided by the time in which its burst refills."""
     customer, used, began_s = BUNDLE.customers[2], 0, trio.current_time()
     for number in range(20):
         told = await world.call(prompt(196, 4, f"r{number}"), Authorization="Bearer slow")
@@ -190,7 +190,7 @@
 
 @case("time-limit-unreachable")
 async def _time_limit_unreachable(world: World) -> None:
-    """Once because the request itself takes longer, once because of what runs before it."""
+    """The request itself takes longer than its limit; a wait for other requests isn't covered."""
     asked = prompt(answer=400)
     told = await world.call(asked, Sassafrastally_Time_Limit_S="1")
     world.refused(told, "time-limit-unreachable")
@@ -235,7 +235,7 @@
 
 @case("busy")
 async def _busy(world: World) -> None:
-    """Said between sidecar and entry only: the entry asks again without the bound on the wait."""
+    """Sent only from sidecar to entry: the entry tries again without the wait limit."""
     for vm in ENGINES:
         await world.in_background(prompt(15_000, 200, f"before {vm}"))
     peers = world.deployment.node("entry-2").kernel.get("peers", PeerService)
@@ -258,7 +258,7 @@
 
 @case("leaving")
 async def _leaving(world: World) -> None:
-    """The sidecars have the signal to stop and end what runs; the entry hasn't heard yet."""
+    """The sidecars were told to stop and finish their runs; the entry hasn't been notified yet."""
     for number in range(8):
         await world.in_background(prompt(answer=600, marker=f"open-{number}"))
     assert all(model.true_load().running for model in world.deployment.engines.values())
@@ -322,7 +322,7 @@
 async def _claims_unavailable(world: World) -> None:
     world.deployment.kv.set_faults(KvFaults(down=True))
     told = await world.call(booking(), BOOKING, Idempotency_Key="k")
-    # An earlier request of the key may have run; that this one has not is said in words.
+    # An earlier request of the key may have run; the detail says that this one has not.
     world.refused(told, "claims-unavailable", "unknown")
     assert "This request has not run" in told.problem["detail"]
     world.deployment.kv.set_faults(KvFaults())
@@ -357,7 +357,7 @@
 
 @case("outcome-unknown")
 async def _outcome_unknown(world: World) -> None:
-    """The sidecar dies with a booking on its way, and its successor can't know of it."""
+    """A sidecar dies with a booking in flight, and its replacement has no record of it."""
     world.deployment.services["service-1"].delay_s = 2.0
     told: list[Told] = []
 
--- a/packages/entry/tests/test_routes.py
+++ b/packages/entry/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""The callers' interface: the published form, bad input and problem details."""
+"""The callers' interface: its public API, invalid input and problem details."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 AUTHORIZATION = {"Authorization": "Bearer a-key-of-yeso-justo"}
 GOOD = {"model": "yeso-small", "prompt": "A wall in Prado, 12 m2.", "max_tokens": 16}
-THREE = b'data: {"w":"ha"}\n\ndata: {"w":"ho"}\n\ndata: {"w":"hi"}\n\n'
+THREE_EVENTS = b'data: {"w":"ha"}\n\ndata: {"w":"ho"}\n\ndata: {"w":"hi"}\n\n'
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
     return await client.post(path, data=data, headers={**AUTHORIZATION, **headers})
 
 
-def no_sidecar_was_asked(world: Any) -> bool:
+def no_sidecar_was_contacted(world: Any) -> bool:
     return not (world.s1.log or world.s2.log)
 
 
@@ -41,21 +41,23 @@
         assert response.status_code == 200
         assert response.headers["Content-Type"].startswith("text/event-stream")
         assert len(response.headers["Sassafrastally-Request-Id"]) == 32
-        assert await response.get_data() == THREE + b"data: [DONE]\n\n"
+        assert await response.get_data() == THREE_EVENTS + b"data: [DONE]\n\n"
         (reserve,) = world.s1.of(Reserve) + world.s2.of(Reserve)
         assert reserve.operation == "POST /v1/chat/completions"
         assert (reserve.customer, reserve.model) == ("yeso-justo", "yeso-small")
 
-    async def test_whole_completion(self, world: Any, client: Any, autojump_clock: Any) -> None:
+    async def test_non_streamed_completion(
+        self, world: Any, client: Any, autojump_clock: Any
+    ) -> None:
         response = await post(client, GOOD)
-        assert (response.status_code, await response.get_data()) == (200, THREE)
+        assert (response.status_code, await response.get_data()) == (200, THREE_EVENTS)
         assert response.headers["Sassafrastally-Outcome"] == "completed"
 
     async def test_failure_after_the_first_data_is_an_event_without_done(
         self, world: Any, client: Any, autojump_clock: Any
     ) -> None:
-        """A clerk's program shows half an answer as whole: the stream broke off, and its last
-        event was the same as that of a whole answer."""
+        """A stream fails after its first data. If its last event were that of a complete answer,
+        the client would show a truncated answer as complete."""
 
         async def fail(sidecar: Any, end: Any, reserve: Reserve) -> None:
             await sidecar.accept(end, reserve)
@@ -102,7 +104,7 @@
         )
 
     @pytest.mark.parametrize("marked", ["true", "false"])
-    async def test_caller_can_only_narrow_what_may_be_repeated(
+    async def test_caller_can_only_restrict_idempotency(
         self, world: Any, client: Any, autojump_clock: Any, marked: str
     ) -> None:
         headers = {"Sassafrastally-Idempotent": marked}
@@ -113,20 +115,20 @@
 
 BAD = {
     "broken JSON": (b'{"model": "yeso-small", ', 400, "bad-request"),
-    "no UTF-8": (b'{"model": "\xff"}', 400, "bad-request"),
-    "half a surrogate pair": (b'{"model": "yeso-small", "prompt": "\\ud800"}', 400, "bad-request"),
+    "invalid UTF-8": (b'{"model": "\xff"}', 400, "bad-request"),
+    "lone surrogate": (b'{"model": "yeso-small", "prompt": "\\ud800"}', 400, "bad-request"),
     "nested too deeply": (b"[" * 50_000, 400, "bad-request"),
-    "no object": (b"[1]", 400, "bad-request"),
+    "not an object": (b"[1]", 400, "bad-request"),
     "NaN": (b'{"model": "yeso-small", "prompt": "a", "seed": NaN}', 400, "bad-request"),
     "no model": ({"prompt": "a"}, 400, "bad-request"),
     "model of a wrong type": ({**GOOD, "model": 3}, 400, "bad-request"),
     "no prompt": ({"model": "yeso-small"}, 400, "bad-request"),
     "prompt of a wrong type": ({**GOOD, "prompt": {"a": 1}}, 400, "bad-request"),
-    "token numbers that are none": ({**GOOD, "prompt": [1, True]}, 400, "bad-request"),
+    "token numbers that are not integers": ({**GOOD, "prompt": [1, True]}, 400, "bad-request"),
     "negative token number": ({**GOOD, "prompt": [1, -1]}, 400, "bad-request"),
     "negative limit": ({**GOOD, "max_tokens": -1}, 400, "bad-request"),
     "limit of 0": ({**GOOD, "max_tokens": 0}, 400, "bad-request"),
-    "limit that is true": ({**GOOD, "max_tokens": True}, 400, "bad-request"),
+    "boolean limit": ({**GOOD, "max_tokens": True}, 400, "bad-request"),
     "limit over the bundle's": ({**GOOD, "max_tokens": 100_000}, 400, "bad-request"),
     "stream of a wrong type": ({**GOOD, "stream": "yes"}, 400, "bad-request"),
     "two answers": ({**GOOD, "n": 2}, 400, "bad-request"),
@@ -141,13 +143,13 @@
     "no key": ({"Authorization": ""}, 401, "unknown-customer"),
     "other scheme": ({"Authorization": "Basic a-key-of-yeso-justo"}, 401, "unknown-customer"),
     "model not allowed": ({"Authorization": "Bearer another"}, 403, "model-not-allowed"),
-    "time limit no number": ({"Sassafrastally-Time-Limit-S": "soon"}, 400, "bad-request"),
+    "time limit not a number": ({"Sassafrastally-Time-Limit-S": "soon"}, 400, "bad-request"),
     "time limit NaN": ({"Sassafrastally-Time-Limit-S": "nan"}, 400, "bad-request"),
     "time limit negative": ({"Sassafrastally-Time-Limit-S": "-1"}, 400, "bad-request"),
     "time limit too long": ({"Sassafrastally-Time-Limit-S": "61"}, 400, "bad-request"),
-    "idempotent unclear": ({"Sassafrastally-Idempotent": "perhaps"}, 400, "bad-request"),
-    "key of idempotency too long": ({"Idempotency-Key": "k" * 129}, 400, "bad-request"),
-    "key of idempotency empty": ({"Idempotency-Key": ""}, 400, "bad-request"),
+    "invalid idempotent flag": ({"Sassafrastally-Idempotent": "perhaps"}, 400, "bad-request"),
+    "idempotency key too long": ({"Idempotency-Key": "k" * 129}, 400, "bad-request"),
+    "idempotency key empty": ({"Idempotency-Key": ""}, 400, "bad-request"),
 }
 
 
@@ -159,7 +161,7 @@
         problem = json.loads(await response.get_data())
         assert (response.status_code, problem["code"]) == (status, code)
         assert problem["outcome"] == "not_run"
-        assert no_sidecar_was_asked(world)
+        assert no_sidecar_was_contacted(world)
 
     @pytest.mark.parametrize("case", BAD_HEADERS)
     async def test_headers(self, world: Any, client: Any, autojump_clock: Any, case: str) -> None:
@@ -167,16 +169,16 @@
         response = await post(client, GOOD, **headers)
         problem = json.loads(await response.get_data())
         assert (response.status_code, problem["code"]) == (status, code)
-        assert no_sidecar_was_asked(world)
+        assert no_sidecar_was_contacted(world)
 
     async def test_unknown_service(self, world: Any, client: Any, autojump_clock: Any) -> None:
         response = await post(client, b"", "/services/nothing")
         assert response.status_code == 404
-        assert no_sidecar_was_asked(world)
+        assert no_sidecar_was_contacted(world)
 
     async def test_body_that_never_ends(self, world: Any, client: Any, autojump_clock: Any) -> None:
-        """A caller keeps its connection and sends a body that stays incomplete. The request's
-        time limit must hold from its arrival on, or such callers fill the entry."""
+        """A caller keeps its connection open with an incomplete body. The time limit must apply
+        from the arrival of the request, or such callers would exhaust the entry."""
         started_s = trio.current_time()
         async with client.request(
             "/v1/completions", method="POST", headers=AUTHORIZATION
@@ -190,10 +192,10 @@
 
 
 class TestKeys:
-    async def test_key_that_a_roll_takes_away_is_refused_at_once(
+    async def test_key_removed_by_a_roll_is_rejected_at_once(
         self, world: Any, client: Any, autojump_clock: Any
     ) -> None:
-        """A stolen key still works after the roll that withdrew it, until the entry restarts."""
+        """A stolen key must not work until the entry restarts once a roll has revoked it."""
         assert (await post(client, GOOD)).status_code == 200
         in_force = world.bundles.in_force
         bundle = in_force.bundle._replace(customers=in_force.bundle.customers[1:])
@@ -238,8 +240,8 @@
     async def test_not_ready_without_a_sidecar(
         self, world: Any, client: Any, autojump_clock: Any
     ) -> None:
-        """Callers are refused by an entry with a wrong link secret while its neighbours could
-        serve them: it had a bundle, so the balancer was told that it was ready."""
+        """An entry with a wrong link secret has a bundle but no sidecars. If it reported ready, it
+        would refuse requests that other entries can serve."""
         world.membership.loads = list
         assert (await client.get("/readyz")).status_code == 503
 
@@ -249,7 +251,7 @@
         world.membership.leaving.add(world.kernel.vm)
         assert (await client.get("/readyz")).status_code == 503
 
-    async def test_not_ready_from_the_signal_on(
+    async def test_not_ready_after_the_stop_signal(
         self, world: Any, client: Any, autojump_clock: Any
     ) -> None:
         world.kernel.stopping.set()
--- a/packages/entry/tests/test_span.py
+++ b/packages/entry/tests/test_span.py
@@ -1,3 +1,5 @@
+"""Spans over a deployment of fake engines: execution, capacity and failures."""
+
 from __future__ import annotations
 
 import json
@@ -24,15 +26,15 @@
 ENGINE_TOKENS = BLOCKS * BLOCK_TOKENS
 LONG_TOKENS = ENGINE_TOKENS * 5 // 2
 HISTORIES = int(os.environ.get("SASSAFRASTALLY_SPANS", "4"))
-"""Random histories; a longer run by hand sets more."""
+"""Number of random histories; set a higher number for a longer manual run."""
 
 ANSWER_TOKENS = 60
 STEP_S = 0.05
-"""Slow steps, so that a run lasts for longer than it takes to notice a failure."""
+"""Long enough that a run lasts longer than the detection of a failure."""
 LATENCY_S = 0.002
 SETTLE_S = 3.0
 FREED_WITHIN_S = 15.0
-"""Link loss, twice the grace, and a sweep."""
+"""Link loss detection, two grace periods and a sweep."""
 
 BUNDLE = Bundle(
     name="spans",
@@ -43,7 +45,7 @@
 
 
 class Sent:
-    """A request on its way, or what its caller was told."""
+    """A request in progress, or its result."""
 
     def __init__(self, asked, node):
         self.asked, self.node = asked, node
@@ -119,7 +121,7 @@
         return self.send(marker, entry, **options)
 
     def attempts(self, vm):
-        """Live attempts of spans on a sidecar."""
+        """Return the live segment attempts on a sidecar."""
         table = self.node(vm).kernel.get("sidecar", SidecarService).table
         return [attempt for attempt in table.live if attempt.segment is not None]
 
@@ -129,7 +131,8 @@
                 await trio.sleep(every_s)
 
     async def check_free(self):
-        """No engine holds anything, by its own count, and no sidecar thinks so."""
+        """Check that no engine holds anything by its own count and no sidecar records anything
+        held."""
         with trio.move_on_after(FREED_WITHIN_S):
             await self.until(self.is_free, 0.1)
         for vm, engine in self.engines.items():
@@ -195,9 +198,9 @@
             await fleet.check_free()
 
     async def test_two_at_once(self, autojump_clock):
-        """Two long prompts come at the same moment through two entries, to engines that hold only
-        one of them. Each entry reserves in the same order, so one gets all and the other waits;
-        without it each would hold half and both would pass their time limits."""
+        """Two long prompts arrive at the same time through two entries, for engines that can hold
+        only one of them. All entries reserve in the same order, so one gets all engines and the
+        other waits. Otherwise each would hold half and both would exceed their time limits."""
         async with open_fleet(entries=2) as fleet:
             first = fleet.long("first")
             second = fleet.long("second", entry="entry-2")
@@ -214,7 +217,7 @@
             assert fleet.runs["long"] == 1
             await fleet.check_free()
 
-    async def test_too_long_for_all_is_refused_at_once(self, autojump_clock):
+    async def test_prompt_too_long_for_all_engines_is_refused_at_once(self, autojump_clock):
         async with open_fleet() as fleet:
             sent = fleet.long(prompt_tokens=3 * ENGINE_TOKENS)
             await sent.over.wait()
@@ -233,10 +236,10 @@
             await fleet.check_free()
 
 
-class TestBeside:
-    async def test_short_requests_go_on(self, autojump_clock):
-        """A prompt over all engines lasts for seconds. Clerks' short requests keep coming to the
-        same engines and must not wait for its end, nor it for theirs."""
+class TestConcurrentRequests:
+    async def test_short_requests_are_not_delayed(self, autojump_clock):
+        """A prompt across all engines takes seconds. Short requests to the same engines must not
+        wait for its end, nor must it wait for theirs."""
 
         async def first_tokens_s(with_span):
             async with open_fleet() as fleet:
@@ -257,12 +260,12 @@
         print(f"short median {alone[10]:.3f} -> {beside[10]:.3f} s", end=", ")
         print(f"slowest {alone[-1]:.3f} -> {beside[-1]:.3f} s")
         print(f"span {long.ended_s - long.started_s:.3f} s")
-        # A step with a piece of a long prefill takes 0.15 s where one without takes 0.05 s.
+        # A step with a chunk of a long prefill takes 0.15 s, one without takes 0.05 s.
         assert beside[-1] < 4 * alone[-1]
 
     async def test_backfill_ends_before_the_segment_starts(self, autojump_clock):
-        """Work that needs memory of an engine promised to a span is refused as memory-full with
-        the span as the reason, or it ends in time; the span never waits for it."""
+        """A request that needs engine memory promised to a span is refused as memory-full because
+        of the span, or it ends in time; the span never waits for it."""
         async with open_fleet() as fleet:
             fleet.long("long")
             await fleet.until(lambda: PHASES["reserved"](fleet, "engine-3"))
@@ -286,9 +289,9 @@
         ],
     )
     async def test_member_engine_dies(self, phase, vm, autojump_clock):
-        """A member's engine dies and comes back empty while the span is in some phase. The
-        leader's engine doesn't notice: unless the fleet does, the caller gets an answer that
-        rests on part of the prompt, or none."""
+        """A member's engine dies and restarts empty in each phase of the span. The leader's engine
+        doesn't detect that. Unless the sidecars and the entry do, the caller gets an answer based
+        on part of the prompt, or none."""
         async with open_fleet() as fleet:
             sent = fleet.long(is_streamed=True)
             await fleet.until(lambda: PHASES[phase](fleet, vm))
@@ -302,9 +305,9 @@
             await fleet.check_free()
 
     async def test_member_engine_stays_down(self, autojump_clock):
-        """A member's engine dies while the leader decodes, and stays down. The leader's engine
-        goes on generating from memory that is gone; it must be stopped when the member's sidecar
-        finds its engine dead, not when the engine comes back."""
+        """A member's engine dies during decode and stays down. The leader's engine continues to
+        generate from lost memory. It must be stopped when the member's sidecar detects that its
+        engine is down, not when the engine restarts."""
         async with open_fleet() as fleet:
             sent = fleet.long(is_streamed=True)
             await fleet.until(sent.first_data.is_set)
@@ -327,9 +330,9 @@
         ],
     )
     async def test_member_sidecar_dies(self, phase, vm, autojump_clock):
-        """The sidecar of a member dies and a new one starts while the span is in some phase. What
-        the old one had on the engine has no owner any more; the new one must free it, and the
-        request goes on with a new span."""
+        """A member's sidecar dies and a new one starts in each phase of the span. The state that
+        the old one left on the engine has no owner; the new one must free it, and the request
+        continues with a new span."""
         async with open_fleet() as fleet:
             sent = fleet.long(is_streamed=True)
             await fleet.until(lambda: PHASES[phase](fleet, vm))
@@ -342,9 +345,9 @@
 
     @pytest.mark.parametrize("phase", PHASES)
     async def test_entry_dies(self, phase, autojump_clock):
-        """The entry that planned a span dies in some phase. Nobody else knows of the span: each
-        sidecar must free its own part, and the leader's run ends before the memory that it reads
-        from is freed, also when the request may not be repeated."""
+        """The entry that planned a span dies in each phase. No other process has a record of the
+        span: each sidecar must free its own part, and the leader's run must end before the memory
+        that it reads is freed, also for a non-idempotent request."""
         async with open_fleet() as fleet:
             fleet.long(is_streamed=True, is_idempotent=False, answer_tokens=200)
             vm = "engine-2" if phase == "reserved" else "engine-1"
@@ -360,7 +363,7 @@
                     await trio.sleep(0.05)
             await fleet.check_free()
 
-    async def test_caller_leaves(self, autojump_clock):
+    async def test_caller_disconnects(self, autojump_clock):
         async with open_fleet() as fleet:
             sent = fleet.long(is_streamed=True, is_idempotent=False)
             await fleet.until(sent.first_data.is_set)
@@ -370,8 +373,9 @@
 
     @pytest.mark.parametrize("phase", PHASES)
     async def test_link_is_cut(self, phase, autojump_clock):
-        """The connection to a member breaks and a new one comes about. A committed segment is
-        joined again and nothing is computed twice; a reserved one is void and asked for anew."""
+        """The connection to a member is lost and re-established. The entry reattaches to a
+        committed segment, and nothing is computed twice; a reserved one is void and is reserved
+        again."""
         async with open_fleet() as fleet:
             sent = fleet.long(is_streamed=True)
             await fleet.until(lambda: PHASES[phase](fleet, "engine-2"))
@@ -386,15 +390,16 @@
 class TestHistories:
     @pytest.mark.parametrize("seed", range(HISTORIES))
     async def test_random_failures(self, seed, autojump_clock):
-        """Spans and short requests of two entries meet failures at random times. Each caller
-        hears within its limit, whole answers are the right ones, and nothing stays held."""
+        """Failures occur at random times during spans and short requests of two entries. Each
+        caller is answered within its limit, complete answers are correct, and nothing stays
+        held."""
         random = Random(seed)
         async with open_fleet(engines=4, entries=2) as fleet:
             for number in range(3):
                 entry = f"entry-{random.randint(1, 2)}"
                 fleet.long(f"long-{number}", entry, is_idempotent=random.random() < 0.7)
                 fleet.send(f"short-{number}", entry, answer_tokens=5)
-                await fail_somewhere(fleet, random)
+                await inject_failure(fleet, random)
             for sent in fleet.sent:
                 await sent.over.wait()
                 assert sent.ended_s - sent.started_s <= sent.asked.time_limit_s + 0.5
@@ -407,7 +412,7 @@
             await fleet.check_free()
 
 
-async def fail_somewhere(fleet, random):
+async def inject_failure(fleet, random):
     await trio.sleep(random.uniform(0, 3))
     vm = f"engine-{random.randint(1, 4)}"
     match random.choice(["engine", "sidecar", "entry", "cut", "none"]):
