--- a/packages/entry/src/sassafrastally/entry/attempt.py
+++ b/packages/entry/src/sassafrastally/entry/attempt.py
@@ -157,7 +157,7 @@
         except (LinkRefused, TooManyStreams) as cause:
             return Unreachable(cause.detail)
         except (LinkCut, StreamEnded) as cause:
-            return self._after_cut(cause)
+            return self._on_link_lost(cause)
 
     async def query(self, *, void_if_uncommitted: bool) -> AttemptState | None:
         """Ask the incarnation for the state of the attempt.
@@ -296,7 +296,7 @@
             try:
                 result = await self._read_answer(stream)
             except (LinkCut, StreamEnded) as cause:
-                result = self._after_cut(cause)
+                result = self._on_link_lost(cause)
             nursery.cancel_scope.cancel()
         return result
 
@@ -374,7 +374,7 @@
         self.is_committed = True
         return ContactLost(refused.detail)
 
-    def _after_cut(self, cause: CodedError) -> AttemptResult:
+    def _on_link_lost(self, cause: CodedError) -> AttemptResult:
         return ContactLost(cause.detail) if self.is_committed else Unreachable(cause.detail)
 
     def _is_own(self, message: Reserved | Refused) -> bool:
--- a/packages/entry/src/sassafrastally/entry/execution.py
+++ b/packages/entry/src/sassafrastally/entry/execution.py
@@ -272,7 +272,7 @@
             if isinstance(result, KeyOwnedElsewhere):
                 result = await resolution.join_owner(result.owner)
             elif isinstance(result, ContactLost):
-                result = await resolution.after_cut(result, self._contact_timeout_s())
+                result = await resolution.resolve_lost(result, self._contact_timeout_s())
         self._record_result(attempt, result)
         self._current = None
         return result
--- a/packages/entry/src/sassafrastally/entry/resolution.py
+++ b/packages/entry/src/sassafrastally/entry/resolution.py
@@ -63,7 +63,7 @@
         self._events = events
         self._random = random
 
-    async def after_cut(self, lost: ContactLost, patience_s: float) -> AttemptResult:
+    async def resolve_lost(self, lost: ContactLost, timeout_s: float) -> AttemptResult:
         """Determine the outcome of a committed attempt after its link was lost.
 
         The request may still be running, and only that incarnation knows, so it is queried until
@@ -73,7 +73,7 @@
         ----------
         lost
             How the link was lost.
-        patience_s
+        timeout_s
             How long to keep querying; for a non-idempotent request, until its time limit.
         """
         plan = self._attempt.plan
@@ -81,8 +81,8 @@
         self._events.emit(event)
         if not self._attempt.site.incarnation:
             return lost
-        with trio.move_on_after(patience_s):
-            return await self._ask_until_known(lost)
+        with trio.move_on_after(timeout_s):
+            return await self._query_until_known(lost)
         return lost
 
     async def join_owner(self, owner: Placement) -> AttemptResult:
@@ -95,9 +95,9 @@
             return IncarnationGone(owner.vm)
         site = Site(owner.vm, address, owner.incarnation, owner.request_id, owner.attempt)
         self._attempt.adopt(site)
-        return await self._ask_until_known(ContactLost("joined by its key"))
+        return await self._query_until_known(ContactLost("joined by its key"))
 
-    async def _ask_until_known(self, lost: ContactLost) -> AttemptResult:
+    async def _query_until_known(self, lost: ContactLost) -> AttemptResult:
         attempt, broken_answers = self._attempt, int(lost.is_protocol_error)
         for tries in count():
             state = await self._state()
