--- a/packages/core/src/sassafrastally/core/__init__.py
+++ b/packages/core/src/sassafrastally/core/__init__.py
@@ -1,4 +1,4 @@
-"""Kernel, clock, settings, errors, events and metrics that every process shares."""
+"""Service kernel, clock, settings, errors, events and metrics, shared by every process."""
 
 from __future__ import annotations
 
--- a/packages/core/src/sassafrastally/core/clock.py
+++ b/packages/core/src/sassafrastally/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock that all services read."""
+"""Monotonic and wall clock of a process."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Clock:
-    """Monotonic and wall time that both follow trio's clock.
+    """Monotonic and wall time derived from trio's clock.
 
-    Under trio's mock clock the wall clock moves with it, so that a test gives the same verdict
-    on each run.
+    Under trio's mock clock the wall clock advances with the mock clock, so tests are deterministic.
 
     Parameters
     ----------
     wall_offset_s
-        Error of this process's wall clock in seconds; tests use it to let clocks differ.
+        Error added to the wall clock, in seconds; tests use it to simulate clock skew.
     epoch_s
-        Wall time at the creation of the clock, in seconds since 1970; the system's by default.
+        Wall time when the clock is created, in seconds since the Unix epoch; defaults to the
+        system time.
     """
 
     def __init__(self, wall_offset_s: float = 0.0, epoch_s: float | None = None) -> None:
@@ -27,9 +27,9 @@
         self._epoch_s = start_s - trio.current_time()
 
     def now_s(self) -> float:
-        """Return monotonic time in seconds; only differences mean something."""
+        """Return monotonic time in seconds; only differences are meaningful."""
         return trio.current_time()
 
     def wall_s(self) -> float:
-        """Return wall time in seconds since 1970, with this process's error."""
+        """Return wall time in seconds since the Unix epoch, including `wall_offset_s`."""
         return self._epoch_s + trio.current_time() + self.wall_offset_s
--- a/packages/core/src/sassafrastally/core/errors.py
+++ b/packages/core/src/sassafrastally/core/errors.py
@@ -1,8 +1,8 @@
-"""Exceptions with codes.
+"""Exceptions with numeric codes.
 
-Every exception that the project raises on purpose descends from `CodedError` and carries a number
-that is registered once. The numbers of a package start with its own thousand: core 1, wire 2,
-platform 3, control 4, serving 5, entry 6, sidecar 7, cli 8, testing 9.
+Every exception that the project raises deliberately derives from `CodedError` and has a unique
+registered code. Each package has its own range of codes by thousands: core 1, wire 2, platform 3,
+control 4, serving 5, entry 6, sidecar 7, cli 8, testing 9.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 E = TypeVar("E", bound="type[CodedError]")
 
 ERRORS: dict[int, type[CodedError]] = {}
-"""Every registered exception by its code; the errors page of the docs is made from it."""
+"""Registered exceptions by code; the errors reference page is generated from it."""
 
 
 class CodedError(Exception):
     """Base of all exceptions of the project."""
 
     code: ClassVar[int] = 0
-    """The number under which the errors page lists the exception."""
+    """Code of the exception in the errors reference page."""
 
     def __str__(self) -> str:
         return f"[E{self.code}] {super().__str__()}"
@@ -39,14 +39,14 @@
     Raises
     ------
     ValueError
-        When the code is taken or the exception has no docstring.
+        If the code is already registered or the exception has no docstring.
     """
 
     def decorate(cls: E) -> E:
         if code in ERRORS:
-            raise ValueError(f"error code {code} is taken by {ERRORS[code].__name__}")
+            raise ValueError(f"error code {code} is already registered by {ERRORS[code].__name__}")
         if not cls.__doc__:
-            raise ValueError(f"{cls.__name__} needs a docstring for the errors page")
+            raise ValueError(f"{cls.__name__} needs a docstring for the errors reference page")
         cls.code = code
         ERRORS[code] = cls
         return cls
--- a/packages/core/src/sassafrastally/core/events.py
+++ b/packages/core/src/sassafrastally/core/events.py
@@ -1,8 +1,9 @@
-"""Numbered events: the catalogue, the bounded ring and the log.
+"""Numbered events: the event catalogue, the in-memory ring buffer and the structured log.
 
-An event is a `NamedTuple` class that the `event` decorator puts into the catalogue. Emitting one
-stamps it with the hybrid logical clock, keeps it in the ring that `sassafrastally timeline` reads
-and writes one structured log line. Numbers follow the packages as error codes do.
+An event is a `NamedTuple` class registered in the catalogue by the `event` decorator. Emitting an
+event stamps it with the hybrid logical clock, appends it to the ring buffer that
+`sassafrastally timeline` reads and writes one structured log line. Event numbers use the same
+range for each package as error codes.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
     from sassafrastally.core.ids import Incarnation
 
 RING_CAPACITY = 4096
-"""Events kept in memory; the oldest leave first."""
+"""Events kept in memory; the oldest are dropped first."""
 
 LEVELS = ("debug", "info", "warning", "error")
 
 
 class EventTuple(Protocol):
-    """What an event class offers: the methods of a named tuple."""
+    """Methods of a named tuple that the event log uses."""
 
     def _asdict(self) -> dict[str, Any]: ...
 
@@ -36,7 +37,7 @@
 
 
 class EventKind(NamedTuple):
-    """Entry of the catalogue."""
+    """Catalogue entry of an event class."""
 
     number: int
     name: str
@@ -46,32 +47,32 @@
 
 
 class EventRecord(TypedDict):
-    """An event as the ring keeps it and as the time line shows it."""
+    """An emitted event as stored in the ring buffer and shown in the timeline."""
 
     stamp: int
-    """Hybrid logical stamp."""
+    """Hybrid logical clock timestamp."""
     vm: str
     incarnation: str
     number: int
     name: str
     level: str
     fields: dict[str, Any]
-    """The event's own fields; ``request_id`` and ``generation`` are among them where they apply."""
+    """Fields of the event class, including ``request_id`` and ``generation`` where they apply."""
 
 
 CATALOGUE: dict[int, EventKind] = {}
-"""Every event kind by number; the events page of the docs is made from it."""
+"""Registered event kinds by number; the events reference page is generated from it."""
 
 _KINDS: dict[type[Any], EventKind] = {}
 
 
 def event(number: int, level: str = "info") -> Callable[[C], C]:
-    """Return a class decorator that puts an event class into the catalogue.
+    """Return a class decorator that registers an event class in the catalogue.
 
     Parameters
     ----------
     number
-        Number of the event, unique over all packages.
+        Number of the event, unique across all packages.
     level
         One of `LEVELS`.
     """
@@ -80,7 +81,7 @@
         if number in CATALOGUE:
             raise ValueError(f"event {number} is taken by {CATALOGUE[number].name}")
         if level not in LEVELS:
-            raise ValueError(f"event {number} has no such level: {level}")
+            raise ValueError(f"event {number} has an unknown level: {level}")
         meaning = (cls.__doc__ or "").strip().splitlines()[0]
         kind = EventKind(number, cls.__name__, level, meaning, tuple(cls._fields))
         CATALOGUE[number] = kind
@@ -91,18 +92,18 @@
 
 
 class EventLog:
-    """The events of one process.
+    """The event log of one process.
 
     Parameters
     ----------
     vm
         Name of the VM.
     incarnation
-        This life of the process.
+        Incarnation of the process.
     clock
-        The process's clock.
+        Clock of the process.
     capacity
-        How many events the ring keeps.
+        Number of events kept in the ring buffer.
     """
 
     def __init__(
@@ -116,7 +117,7 @@
         self._logger = structlog.get_logger("sassafrastally").bind(vm=vm)
 
     def emit(self, item: EventTuple) -> EventRecord:
-        """Stamp an event, keep it in the ring and log it."""
+        """Stamp an event, append it to the ring buffer and log it."""
         kind = _KINDS[type(item)]
         record = EventRecord(
             stamp=self.hybrid.tick(),
@@ -134,10 +135,10 @@
         return record
 
     def records(self, where: Mapping[str, Any] | None = None) -> list[EventRecord]:
-        """Return the kept events, oldest first, whose fields equal all of `where`."""
-        wanted = where or {}
+        """Return the buffered events whose fields match all of `where`, oldest first."""
+        expected = where or {}
         return [
             record
             for record in self._ring
-            if all(record["fields"].get(key) == value for key, value in wanted.items())
+            if all(record["fields"].get(key) == value for key, value in expected.items())
         ]
--- a/packages/core/src/sassafrastally/core/findings.py
+++ b/packages/core/src/sassafrastally/core/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what a check has against its input, collected and reported together."""
+"""Findings: problems that a check reports about its input, collected and raised together."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Place(NamedTuple):
-    """Where a finding stands."""
+    """Location of a finding."""
 
     file: str
     """Name of the file or document."""
     line: int
-    """Line counted from 1; 0 when it isn't known."""
+    """Line number starting at 1; 0 if unknown."""
     key: str
     """Dotted key, such as ``peer.listen_address``."""
 
@@ -26,7 +26,7 @@
 
 
 class Finding(NamedTuple):
-    """One thing that is wrong at one place."""
+    """One problem at one location."""
 
     place: Place
     message: str
@@ -37,7 +37,7 @@
 
 @error(1001)
 class FindingsError(CodedError):
-    """A document has findings; all of them are listed."""
+    """A document has findings; the message lists all of them."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings = tuple(sorted(findings))
--- a/packages/core/src/sassafrastally/core/hlc.py
+++ b/packages/core/src/sassafrastally/core/hlc.py
@@ -1,9 +1,10 @@
-"""Hybrid logical clock: time stamps that keep the causal order although wall clocks differ.
+"""Hybrid logical clock: timestamps that preserve causal order despite wall clock skew.
 
 Notes
 -----
 Kulkarni, Demirbas et al., "Logical Physical Clocks and Consistent Snapshots in Globally
-Distributed Databases" (2014). A stamp packs 48 bits of wall milliseconds and 16 bits of counter.
+Distributed Databases" (2014). A timestamp packs 48 bits of wall time in milliseconds and a 16-bit
+counter.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 COUNTER_BITS = 16
 COUNTER_MASK = (1 << COUNTER_BITS) - 1
 MAX_DRIFT_MS = 60_000
-"""A peer's stamp further ahead than this is not followed, so that one broken clock can't drag
-the fleet's stamps along."""
+"""A peer's timestamp that is further ahead than this is ignored, so that one broken clock can't
+move the timestamps of the whole fleet."""
 
 
 class HybridClock:
-    """Source of hybrid logical stamps of one process.
+    """Hybrid logical clock of one process.
 
     Parameters
     ----------
     clock
-        The process's clock; its wall time may be wrong by seconds.
+        Clock of the process; its wall time may be off by seconds.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -34,12 +35,12 @@
         self._last = 0
 
     def tick(self) -> int:
-        """Return a stamp for a local event or a message to be sent; strictly growing."""
+        """Return a strictly increasing timestamp for a local event or an outgoing message."""
         self._last = max(self._wall_stamp(), self._last + 1)
         return self._last
 
     def observe(self, stamp: int) -> int:
-        """Take in the stamp of a received message and return a later one."""
+        """Merge the timestamp of a received message and return a later one."""
         limit = self._wall_stamp() + (MAX_DRIFT_MS << COUNTER_BITS)
         if stamp <= limit:
             self._last = max(self._last, stamp)
@@ -50,5 +51,5 @@
 
 
 def stamp_wall_s(stamp: int) -> float:
-    """Return the wall time of a stamp in seconds since 1970."""
+    """Return the wall time of a timestamp in seconds since the Unix epoch."""
     return (stamp >> COUNTER_BITS) / 1000
--- a/packages/core/src/sassafrastally/core/ids.py
+++ b/packages/core/src/sassafrastally/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that processes make without asking anyone."""
+"""Identifiers that a process generates without coordination."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 ID_BITS = 128
 
 RequestId = NewType("RequestId", str)
-"""Name of one request of a caller: 32 hexadecimal digits."""
+"""Identifier of a caller's request: 32 hexadecimal digits."""
 
 Incarnation = NewType("Incarnation", str)
-"""Name of one life of a process: 32 hexadecimal digits, new at each start."""
+"""Identifier of one run of a process: 32 hexadecimal digits, generated at each start."""
 
 
 def new_request_id(random: Random) -> RequestId:
-    """Return a fresh request id."""
+    """Return a new request id."""
     return RequestId(f"{random.getrandbits(ID_BITS):032x}")
 
 
 def new_incarnation(random: Random) -> Incarnation:
-    """Return a fresh incarnation."""
+    """Return a new incarnation."""
     return Incarnation(f"{random.getrandbits(ID_BITS):032x}")
--- a/packages/core/src/sassafrastally/core/kernel.py
+++ b/packages/core/src/sassafrastally/core/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: named services, started in order of need and stopped in reverse."""
+"""Service kernel: starts named services in dependency order and stops them in reverse."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @error(1002)
 class KernelError(CodedError):
-    """Services can't be put together: a name is missing, doubled or in a cycle."""
+    """Invalid set of services: a name is missing, duplicated or part of a dependency cycle."""
 
 
 @event(1001)
@@ -38,29 +38,29 @@
 
 
 class Service:
-    """One part of a process that others find by its name.
+    """A component of a process that other services look up by name.
 
-    A service takes what it needs from the kernel in `start` and may run tasks in the kernel's
-    nursery. The kernel calls `stop` in reverse order; after that it cancels what still runs.
+    A service gets its dependencies from the kernel in `start` and may run tasks in the kernel's
+    nursery. The kernel calls `stop` in reverse start order and then cancels the remaining tasks.
     """
 
     name: ClassVar[str] = ""
     """Name under which other services find this one."""
 
     needs: ClassVar[tuple[str, ...]] = ()
-    """Names of the services that are started before this one and stopped after it."""
+    """Names of the services that start before this one and stop after it."""
 
     kernel: Kernel
     """The kernel that runs the service; set when the service is added."""
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Make the service ready; tasks that run on go into the nursery."""
+        """Start the service; background tasks run in the nursery."""
 
     async def stop(self) -> None:
-        """Finish what is under way; new work is no longer taken."""
+        """Finish work in progress and accept no new work."""
 
     def status(self) -> dict[str, Any]:
-        """Return figures that ``sassafrastally status`` shows; plain JSON values only."""
+        """Return JSON values for ``sassafrastally status``."""
         return {}
 
 
@@ -74,9 +74,9 @@
     data_centre
         Name of the data centre.
     clock
-        The process's clock.
+        Clock of the process.
     seed
-        Seed of the random source; taken from the system when it is ``None``.
+        Seed of the random number generator; ``None`` uses the system's generator.
     """
 
     def __init__(
@@ -89,9 +89,9 @@
         self.incarnation: Incarnation = new_incarnation(self.random)
         self.events = EventLog(vm, self.incarnation, self.clock)
         self.stopping = trio.Event()
-        """Set when the process is asked to stop; work in progress is finished first."""
+        """Set on the first stop request; work in progress is finished first."""
         self.hurrying = trio.Event()
-        """Set when it is asked a second time; services then end work at their stop limit."""
+        """Set on the second stop request; services then end work at their stop limit."""
         self._services: dict[str, Service] = {}
 
     def add(self, service: S) -> S:
@@ -100,46 +100,46 @@
         Raises
         ------
         KernelError
-            When its name is empty or taken.
+            If its name is empty or already taken.
         """
         if not service.name or service.name in self._services:
-            raise KernelError(f"service name {service.name!r} is empty or taken")
+            raise KernelError(f"service name {service.name!r} is empty or already taken")
         service.kernel = self
         self._services[service.name] = service
         return service
 
     def get(self, name: str, kind: type[S]) -> S:
-        """Return the service of a name.
+        """Return the service with a name.
 
         Raises
         ------
         KernelError
-            When there is none of that name and kind.
+            If there is no service with that name and type.
         """
         found = self._services.get(name)
         if not isinstance(found, kind):
-            raise KernelError(f"no service {name!r} of kind {kind.__name__}")
+            raise KernelError(f"no service {name!r} of type {kind.__name__}")
         return found
 
     def services(self) -> Iterator[Service]:
-        """Yield the services in the order in which they were added."""
+        """Yield the services in the order they were added."""
         yield from self._services.values()
 
     def has(self, name: str) -> bool:
-        """Return whether a service of that name was added."""
+        """Return whether a service with that name exists."""
         return name in self._services
 
     def request_stop(self) -> None:
-        """Ask the kernel to stop; `run` returns after the services have stopped.
+        """Request a stop; `run` returns after the services have stopped.
 
-        A second call asks the services not to wait longer than their stop limit.
+        A second call tells the services not to wait longer than their stop limit.
         """
         if self.stopping.is_set():
             self.hurrying.set()
         self.stopping.set()
 
     async def run(self, *, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
-        """Start all services, wait for a request to stop, and stop them in reverse order."""
+        """Start all services, wait for a stop request and stop them in reverse order."""
         order = self._start_order()
         async with trio.open_nursery() as nursery:
             for service in order:
@@ -153,13 +153,15 @@
             nursery.cancel_scope.cancel()
 
     def _start_order(self) -> Sequence[Service]:
-        graph = {name: self._known(service) for name, service in self._services.items()}
+        graph = {name: self._checked_needs(service) for name, service in self._services.items()}
         try:
             return [self._services[name] for name in TopologicalSorter(graph).static_order()]
         except CycleError as cause:
-            raise KernelError(f"services need each other in a cycle: {cause.args[1]}") from cause
+            raise KernelError(
+                f"services depend on each other in a cycle: {cause.args[1]}"
+            ) from cause
 
-    def _known(self, service: Service) -> tuple[str, ...]:
+    def _checked_needs(self, service: Service) -> tuple[str, ...]:
         for need in service.needs:
             if need not in self._services:
                 raise KernelError(f"service {service.name!r} needs {need!r}, which is missing")
--- a/packages/core/src/sassafrastally/core/logs.py
+++ b/packages/core/src/sassafrastally/core/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard output."""
+"""Structured logging: one JSON object per line on standard output."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def configure_logs(level: str, writer: LogWriter | None = None) -> None:
-    """Send the events of this process to standard output as JSON lines.
+    """Configure logging to standard output as JSON lines.
 
     Parameters
     ----------
     level
-        Least level that is written: debug, info, warning or error.
+        Minimum level that is logged: debug, info, warning or error.
     writer
-        Takes the lines without blocking; without one they are written as they come.
+        Non-blocking writer; without it lines are written synchronously.
     """
     sampling = [partial(_sample, writer)] if writer else []
     structlog.configure(
@@ -58,7 +58,7 @@
 def _sample(
     writer: LogWriter, _logger: object, method: str, event_dict: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """Leave out lines about successes beyond their rate; never a warning or an error."""
+    """Drop lines about successes above the rate limit; never drop a warning or an error."""
     if method == "info" and not writer.allows_success():
         raise structlog.DropEvent
     return event_dict
--- a/packages/core/src/sassafrastally/core/metrics.py
+++ b/packages/core/src/sassafrastally/core/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by OpenTelemetry: the catalogue and one meter for the process.
+"""OpenTelemetry metrics: the metric catalogue and the meter of the process.
 
 An instrument is declared once at module level by `counter`, `histogram` or `gauge`; the metrics
-page of the docs is made from the catalogue. What exports the figures is up to the operator's
-settings; without any the instruments cost next to nothing.
+reference page is generated from the catalogue. The operator's settings select the exporter;
+without one the instruments have almost no overhead.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class MetricKind(NamedTuple):
-    """Entry of the catalogue of metrics."""
+    """Catalogue entry of a metric."""
 
     name: str
     instrument: str
@@ -30,17 +30,17 @@
 
 
 METRICS: dict[str, MetricKind] = {}
-"""Every declared instrument by name."""
+"""Declared instruments by name."""
 
 
 def counter(name: str, unit: str, meaning: str) -> Counter:
-    """Declare a counter that only grows."""
+    """Declare a monotonic counter."""
     _declare(MetricKind(name, "counter", unit, meaning))
     return _METER.create_counter(name, unit=unit, description=meaning)
 
 
 def gauge(name: str, unit: str, meaning: str) -> UpDownCounter:
-    """Declare a figure that goes up and down."""
+    """Declare a gauge, a value that can go up and down."""
     _declare(MetricKind(name, "gauge", unit, meaning))
     return _METER.create_up_down_counter(name, unit=unit, description=meaning)
 
@@ -48,7 +48,7 @@
 def histogram(
     name: str, unit: str, meaning: str, bounds: Sequence[float] | None = None
 ) -> Histogram:
-    """Declare a distribution; without bounds it has the library's usual ones."""
+    """Declare a histogram; without `bounds` it has the library's default buckets."""
     _declare(MetricKind(name, "histogram", unit, meaning))
     return _METER.create_histogram(
         name, unit=unit, description=meaning, explicit_bucket_boundaries_advisory=bounds
--- a/packages/core/src/sassafrastally/core/metrics_text.py
+++ b/packages/core/src/sassafrastally/core/metrics_text.py
@@ -1,4 +1,4 @@
-"""The figures of this process's instruments, as text that common collectors read."""
+"""Metrics of this process in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @cache
 def start_metrics() -> None:
-    """Let the instruments of this process keep their figures; before that they keep none."""
+    """Start recording metrics; before this call nothing is recorded."""
     metrics.set_meter_provider(MeterProvider(metric_readers=[PrometheusMetricReader()]))
 
 
 def metrics_text() -> str:
-    """Return all figures in the Prometheus text form; none before `start_metrics`."""
+    """Return all metrics in the Prometheus text format; none before `start_metrics`."""
     return generate_latest(REGISTRY).decode()
--- a/packages/core/src/sassafrastally/core/network.py
+++ b/packages/core/src/sassafrastally/core/network.py
@@ -1,4 +1,4 @@
-"""The network as an interface, so that tests run the real code over memory streams."""
+"""Network interface, so that tests can run the real code over in-memory streams."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Address(NamedTuple):
-    """A TCP endpoint by IP number."""
+    """TCP endpoint with an IP address."""
 
     host: str
-    """IP number, never a name."""
+    """IP address, never a host name."""
     port: int
 
     def __str__(self) -> str:
@@ -26,7 +26,7 @@
     """Opens and accepts byte streams."""
 
     async def connect(self, address: Address) -> trio.abc.Stream:
-        """Open a stream; raises OSError when nobody answers."""
+        """Open a stream; raises `OSError` if the connection fails."""
         ...
 
     async def listen(
@@ -35,12 +35,12 @@
         handler: Callable[[trio.abc.Stream], Awaitable[None]],
         nursery: trio.Nursery,
     ) -> Address:
-        """Accept streams in the nursery and return the bound address (port 0 takes a free one)."""
+        """Accept streams in the nursery and return the bound address; port 0 picks a free port."""
         ...
 
 
 class TcpNetwork:
-    """Network over trio's TCP streams."""
+    """`Network` implementation over trio's TCP streams."""
 
     async def connect(self, address: Address) -> trio.abc.Stream:
         """Open a TCP stream."""
--- a/packages/core/src/sassafrastally/core/registry.py
+++ b/packages/core/src/sassafrastally/core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries populated by decorators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Parameters
     ----------
     kind
-        What the entries are, in the singular; used in messages.
+        Singular noun for an entry, used in messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -29,7 +29,7 @@
         Raises
         ------
         ValueError
-            When the name is taken.
+            If the name is already registered.
         """
 
         def decorate(entry: T) -> T:
@@ -41,12 +41,12 @@
         return decorate
 
     def get(self, name: str) -> T:
-        """Return the entry of a name.
+        """Return the entry registered under a name.
 
         Raises
         ------
         KeyError
-            When there is none; the message lists the names that exist.
+            If there is none; the message lists the registered names.
         """
         try:
             return self._entries[name]
@@ -55,7 +55,7 @@
             raise KeyError(f"no {self.kind} named {name!r}; known: {known}") from None
 
     def names(self) -> list[str]:
-        """Return the names, sorted."""
+        """Return the registered names, sorted."""
         return sorted(self._entries)
 
     def __contains__(self, name: object) -> bool:
--- a/packages/core/src/sassafrastally/core/secret.py
+++ b/packages/core/src/sassafrastally/core/secret.py
@@ -1,10 +1,10 @@
-"""Text that must not show in logs."""
+"""Strings that must not appear in logs."""
 
 from __future__ import annotations
 
 
 class Secret(str):
-    """A value that no log and no error shows."""
+    """A string whose value is hidden in logs and error messages."""
 
     def __repr__(self) -> str:
         return "Secret(...)"
--- a/packages/core/src/sassafrastally/core/settings.py
+++ b/packages/core/src/sassafrastally/core/settings.py
@@ -1,7 +1,8 @@
-"""Typed settings from TOML, checked as a whole.
+"""Typed settings loaded from TOML and validated as a whole.
 
-A package declares its part as a `NamedTuple` under the `section` decorator. Loading checks the
-file against the sections of the process's role and reports every finding with file, line and key.
+A package declares its settings table as a `NamedTuple` with the `section` decorator. Loading
+validates the file against the sections of the process's role and reports every finding with file,
+line and key.
 """
 
 from __future__ import annotations
@@ -27,13 +28,13 @@
 V = TypeVar("V")
 
 SECTIONS: dict[str, type[Any]] = {}
-"""Every declared section by its table's name; the settings page of the docs is made from it."""
+"""Declared sections by table name; the settings reference page is generated from it."""
 
 ROLES: dict[str, list[str]] = {"entry": [], "sidecar": []}
-"""Names of the sections that a role reads."""
+"""Names of the sections that each role reads."""
 
 POSITIVE_SUFFIXES = ("_s", "_ms", "_bytes", "_tokens", "_per_s")
-"""Fields with these units can't be negative."""
+"""Fields with these unit suffixes can't be negative."""
 
 _TABLE = re.compile(r"^\s*\[{1,2}\s*([^\]]+?)\s*\]{1,2}")
 _KEY = re.compile(r"^\s*([A-Za-z0-9_.\"-]+)\s*=")
@@ -41,7 +42,7 @@
 
 
 def section(name: str, *roles: str) -> Callable[[T], T]:
-    """Return a class decorator that declares a settings table for some roles (none: all)."""
+    """Return a class decorator that declares a settings table for some roles, by default all."""
 
     def decorate(cls: T) -> T:
         if name in SECTIONS:
@@ -55,32 +56,32 @@
 
 
 class Settings:
-    """The checked settings of one process."""
+    """Validated settings of one process."""
 
     def __init__(self, role: str, sections: Mapping[str, Any]) -> None:
         self.role = role
         self._by_type = {type(value): value for value in sections.values()}
 
     def get(self, kind: type[V]) -> V:
-        """Return the section of a type."""
+        """Return the section with a type."""
         return cast("V", self._by_type[kind])
 
 
 def load_settings(text: str, file: str) -> Settings:
-    """Check a settings file and return what it says.
+    """Parse and validate a settings file.
 
     Parameters
     ----------
     text
-        The file's content.
+        Content of the file.
     file
-        Its name, for findings.
+        Name of the file, used in findings.
 
     Raises
     ------
     FindingsError
-        With every finding: broken TOML, an unknown or missing key or table, a wrong type or unit,
-        an address that isn't an IP number.
+        With every finding: invalid TOML, an unknown or missing key or table, a wrong type, a
+        negative quantity, or an address that isn't an IP address.
     """
     try:
         document = tomllib.loads(text)
@@ -111,12 +112,12 @@
 
 
 def check_table(value: object, kind: type[V]) -> tuple[V | None, list[tuple[str, str]]]:
-    """Check a table against a named tuple type.
+    """Validate a table against a named tuple type.
 
     Returns
     -------
     tuple
-        The value, ``None`` where there are problems, and the problems as key and message.
+        The value, or ``None`` if there are problems, and the problems as pairs of key and message.
     """
     try:
         return _CONVERTER.structure(value, kind), []
@@ -127,9 +128,9 @@
 
 
 def toml_lines(text: str) -> dict[str, int]:
-    """Return the line of each table and key of a TOML text.
+    """Return the line number of each table and key of a TOML text.
 
-    Entries of an array of tables are numbered: ``models[0].name``.
+    Entries of an array of tables are indexed: ``models[0].name``.
     """
     lines: dict[str, int] = {}
     counts: dict[str, int] = {}
@@ -148,16 +149,16 @@
 
 
 def _place(file: str, lines: Mapping[str, int], key: str) -> Place:
-    known = key
-    while known and known not in lines:
-        known = known.rpartition(".")[0]
-    return Place(file, lines.get(known, 0), key)
+    nearest_key = key
+    while nearest_key and nearest_key not in lines:
+        nearest_key = nearest_key.rpartition(".")[0]
+    return Place(file, lines.get(nearest_key, 0), key)
 
 
 def _problems(error: BaseException, path: str) -> Iterator[tuple[str, str]]:
     if isinstance(error, cattrs.BaseValidationError):
         for inner in error.exceptions:
-            yield from _problems(inner, path + _note(inner))
+            yield from _problems(inner, path + _path_segment(inner))
     elif isinstance(error, ForbiddenExtraKeysError):
         for key in sorted(error.extra_fields):
             yield f"{path}.{key}".lstrip("."), "unknown key"
@@ -167,7 +168,7 @@
         yield path.lstrip("."), str(error)
 
 
-def _note(error: BaseException) -> str:
+def _path_segment(error: BaseException) -> str:
     for note in getattr(error, "__notes__", []):
         if isinstance(note, cattrs.AttributeValidationNote):
             return f".{note.name}"
@@ -182,13 +183,13 @@
         address = ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError:
-        raise ValueError(f"must be an IP number and a port, not {value!r}") from None
+        raise ValueError(f"must be an IP address and a port, not {value!r}") from None
     if not 0 <= number <= 65535:
         raise ValueError(f"port must be 0 to 65535, not {number}")
     return Address(str(address), number)
 
 
-def _exact(kind: type[Any], *accepted: type[Any]) -> Callable[[object, type[Any]], Any]:
+def _exact_type_hook(kind: type[Any], *accepted: type[Any]) -> Callable[[object, type[Any]], Any]:
     def structure(value: object, _: type[Any]) -> Any:
         if type(value) not in (kind, *accepted):
             shown = "a secret" if kind is Secret else repr(value)
@@ -239,9 +240,10 @@
     )
     converter.register_structure_hook_func(lambda kind: kind is Address, _structure_address)
     for plain in (str, int, bool):
-        converter.register_structure_hook(plain, _exact(plain))
-    # After str, whose hook would otherwise serve the subclass and show the value in findings.
-    converter.register_structure_hook(Secret, _exact(Secret, str))
+        converter.register_structure_hook(plain, _exact_type_hook(plain))
+    # Registered after str: the str hook would otherwise also handle the subclass and put the
+    # secret value into findings.
+    converter.register_structure_hook(Secret, _exact_type_hook(Secret, str))
     converter.register_structure_hook(float, _structure_float)
     return converter
 
@@ -251,18 +253,18 @@
 
 @section("process")
 class ProcessSettings(NamedTuple):
-    """Who and where the process is."""
+    """Identity and location of the process."""
 
     vm: str
-    """Name of the VM, as the VM list has it."""
+    """Name of the VM in the VM list."""
     data_centre: str
     """Name of the data centre."""
     region: str
     """Name of the region."""
     log_level: str = "info"
-    """Least level of events that are logged: debug, info, warning or error."""
+    """Minimum level of events that are logged: debug, info, warning or error."""
 
 
 def section_names(role: str) -> Sequence[str]:
-    """Return the tables that a role's settings file may hold."""
+    """Return the tables allowed in a role's settings file."""
     return tuple(ROLES[role])
--- a/packages/core/tests/test_events.py
+++ b/packages/core/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue, the ring and the merged time line."""
+"""Tests of the event catalogue and the ring buffer."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 class TestEventLog:
     """`EventLog`."""
 
-    async def test_ring_forgets_the_oldest_and_counts_it(self):
+    async def test_full_ring_drops_the_oldest_and_counts_it(self):
         log = EventLog("vm-1", Incarnation("i"), Clock(), capacity=2)
         for request_id in ("a", "b", "c"):
             log.emit(Sampled(request_id))
         assert [record["fields"]["request_id"] for record in log.records()] == ["b", "c"]
         assert log.dropped == 1
 
-    async def test_records_are_found_by_field(self):
+    async def test_records_are_filtered_by_field(self):
         log = EventLog("vm-1", Incarnation("i"), Clock())
         log.emit(Sampled("a"))
         log.emit(Sampled("b"))
@@ -36,7 +36,7 @@
 class TestCatalogue:
     """`event`."""
 
-    def test_number_can_be_taken_once(self):
+    def test_number_is_registered_once(self):
         assert CATALOGUE[9901].meaning == "An event for these tests."
         with pytest.raises(ValueError, match="taken by Sampled"):
             event(9901)(Sampled)
--- a/packages/core/tests/test_kernel.py
+++ b/packages/core/tests/test_kernel.py
@@ -1,4 +1,4 @@
-"""Services start in order of need, stop in reverse and find each other by name."""
+"""Tests of service start and stop order and of lookup by name."""
 
 from __future__ import annotations
 
@@ -13,52 +13,52 @@
 
 
 class Recorder(Service):
-    """Notes when it is started and stopped."""
+    """Service that records when it is started and stopped."""
 
-    def __init__(self, name: str, needs: tuple[str, ...], notes: list[str]) -> None:
+    def __init__(self, name: str, needs: tuple[str, ...], calls: list[str]) -> None:
         self.name = name  # type: ignore[misc]
         self.needs = needs  # type: ignore[misc]
-        self.notes = notes
+        self.calls = calls
 
     async def start(self, nursery: trio.Nursery) -> None:
-        self.notes.append(f"start {self.name}")
+        self.calls.append(f"start {self.name}")
 
     async def stop(self) -> None:
-        self.notes.append(f"stop {self.name}")
+        self.calls.append(f"stop {self.name}")
 
 
 class TestKernel:
     """`Kernel`."""
 
-    async def test_services_start_in_order_of_need_and_stop_in_reverse(self):
-        notes: list[str] = []
+    async def test_services_start_in_dependency_order_and_stop_in_reverse(self):
+        calls: list[str] = []
         kernel = Kernel("vm-1", "dc-1", seed=1)
-        kernel.add(Recorder("b", ("a",), notes))
-        kernel.add(Recorder("a", (), notes))
+        kernel.add(Recorder("b", ("a",), calls))
+        kernel.add(Recorder("a", (), calls))
         kernel.request_stop()
         await kernel.run()
-        assert notes == ["start a", "start b", "stop b", "stop a"]
+        assert calls == ["start a", "start b", "stop b", "stop a"]
 
-    async def test_missing_need_is_named(self):
+    async def test_missing_dependency_is_reported(self):
         kernel = Kernel("vm-1", "dc-1", seed=1)
         kernel.add(Recorder("b", ("a",), []))
         with pytest.raises(KernelError, match="needs 'a'"):
             await kernel.run()
 
-    async def test_cycle_is_named(self):
+    async def test_dependency_cycle_is_reported(self):
         kernel = Kernel("vm-1", "dc-1", seed=1)
         kernel.add(Recorder("a", ("b",), []))
         kernel.add(Recorder("b", ("a",), []))
         with pytest.raises(KernelError, match="cycle"):
             await kernel.run()
 
-    async def test_name_can_be_taken_once(self):
+    async def test_duplicate_name_is_rejected(self):
         kernel = Kernel("vm-1", "dc-1", seed=1)
         kernel.add(Recorder("a", (), []))
         with pytest.raises(KernelError, match="taken"):
             kernel.add(Recorder("a", (), []))
 
-    async def test_second_request_to_stop_asks_to_hurry(self):
+    async def test_second_stop_request_sets_hurrying(self):
         kernel = Kernel("vm-1", "dc-1", seed=1)
         kernel.request_stop()
         assert not kernel.hurrying.is_set()
--- a/packages/core/tests/test_log_writer.py
+++ b/packages/core/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines when nobody reads them."""
+"""Tests of the log writer when the reader of standard output stalls."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 import threading
 import time
 
-from sassafrastally.core.log_writer import FREE_LINES_PER_S, QUEUE_LINES, LogWriter
+from sassafrastally.core.log_writer import MAX_QUEUED_LINES, MAX_SUCCESS_LINES_PER_S, LogWriter
 
 
 class TestStalledReader:
-    """A standard output that isn't read."""
+    """Standard output that isn't read."""
 
-    def test_lines_are_left_out_and_counted_and_nobody_waits(self):
-        """The collector of logs stalls and the pipe is full. A process that waits for it would
-        answer no request; instead lines are missing, and the next ones say how many."""
+    def test_lines_are_dropped_and_counted_without_blocking(self):
+        """Guards against a stalled log collector blocking the process.
+
+        The pipe is full, so a blocking write would stop all request handling. Lines are dropped
+        instead, and a later line reports how many."""
         stalled = threading.Event()
         written: list[bytes] = []
 
@@ -26,9 +28,9 @@
         writer = LogWriter(write)
         writer.write("first\n")
         time.sleep(0.15)
-        for _ in range(QUEUE_LINES + 100):
+        for _ in range(MAX_QUEUED_LINES + 100):
             writer.write("line\n")
-        assert written == [], "the reader is back: the lines may have waited for it"
+        assert written == [], "the stalled reader received data: writes may have blocked until then"
         assert writer.dropped >= 100
         stalled.set()
         writer.close()
@@ -39,10 +41,10 @@
 
 
 class TestSampling:
-    """More successes than lines."""
+    """Rate limit of lines about successes."""
 
-    def test_successes_are_bounded_by_rate(self):
+    def test_successes_are_rate_limited(self):
         writer = LogWriter(lambda data: len(data))
-        allowed = sum(writer.allows_success() for _ in range(5 * int(FREE_LINES_PER_S)))
-        assert FREE_LINES_PER_S <= allowed < 2 * FREE_LINES_PER_S
-        assert writer.sampled_out == 5 * FREE_LINES_PER_S - allowed
+        allowed = sum(writer.allows_success() for _ in range(5 * int(MAX_SUCCESS_LINES_PER_S)))
+        assert MAX_SUCCESS_LINES_PER_S <= allowed < 2 * MAX_SUCCESS_LINES_PER_S
+        assert writer.sampled_out == 5 * MAX_SUCCESS_LINES_PER_S - allowed
--- a/packages/core/tests/test_settings.py
+++ b/packages/core/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked as a whole and every finding names its place."""
+"""Tests that settings are validated as a whole and findings have locations."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sassafrastally.core.secret import Secret
 from sassafrastally.core.settings import check_table, load_settings, toml_lines
 
-GOOD = """
+VALID_SETTINGS = """
 role = "entry"
 [process]
 vm = "vm-1"
@@ -20,7 +20,7 @@
 
 
 class Example(NamedTuple):
-    """A table with one field of each kind."""
+    """A table with fields of several types."""
 
     address: Address
     secret: Secret
@@ -32,7 +32,9 @@
     """`load_settings` on whole files."""
 
     def test_wrong_type_unknown_key_missing_key_and_unknown_table_are_reported_together(self):
-        text = GOOD.replace('vm = "vm-1"', "vm = 7\nvmm = 1").replace('region = "uy-sur"', "[x]")
+        text = VALID_SETTINGS.replace('vm = "vm-1"', "vm = 7\nvmm = 1").replace(
+            'region = "uy-sur"', "[x]"
+        )
         with pytest.raises(FindingsError) as caught:
             load_settings(text, "entry.toml")
         found = [str(finding) for finding in caught.value.findings]
@@ -41,7 +43,7 @@
         assert "entry.toml:5: process.vmm: unknown key" in found
         assert "entry.toml:7: x: no such table for the role entry" in found
 
-    def test_broken_toml_names_its_line(self):
+    def test_invalid_toml_reports_its_line(self):
         with pytest.raises(FindingsError) as caught:
             load_settings('role = "entry"\n[process\n', "entry.toml")
         assert caught.value.findings[0].place.line == 2
@@ -57,7 +59,7 @@
     @pytest.mark.parametrize(
         ("value", "message"),
         [
-            ({"address": "localhost:80", "secret": "s"}, "must be an IP number and a port"),
+            ({"address": "localhost:80", "secret": "s"}, "must be an IP address and a port"),
             ({"address": "127.0.0.1:99999", "secret": "s"}, "port must be 0 to 65535"),
             ({"address": "127.0.0.1:1", "secret": "s", "period_s": -1}, "must not be negative"),
             ({"address": "127.0.0.1:1", "secret": "s", "period_s": True}, "a finite number"),
@@ -65,7 +67,7 @@
             ([], "must be a table"),
         ],
     )
-    def test_bad_value_is_described(self, value: object, message: str):
+    def test_invalid_value_is_reported(self, value: object, message: str):
         checked, problems = check_table(value, Example)
         assert checked is None
         assert any(message in text for _, text in problems)
@@ -74,7 +76,7 @@
         _, problems = check_table({"address": "127.0.0.1:1", "secret": 12345}, Example)
         assert all("12345" not in message for _, message in problems)
 
-    def test_good_value_has_its_defaults(self):
+    def test_valid_value_gets_defaults(self):
         checked, problems = check_table({"address": "[::1]:80", "secret": "s"}, Example)
         assert problems == []
         assert checked == Example(Address("::1", 80), Secret("s"), 1.0, ())
