--- a/packages/stores/src/sassafrastally/stores/__init__.py
+++ b/packages/stores/src/sassafrastally/stores/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: KV service, VM list and weight store."""
+"""Clients of the platform services: KV service, VM list and weight store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     LeaseLost,
     MaybeApplied,
 )
-from sassafrastally.stores.backoff import BackoffLimits, Gate, full_jitter
+from sassafrastally.stores.backoff import BackoffLimits, CircuitBreaker, full_jitter
 from sassafrastally.stores.budget import PurposeBudgets, TokenBucket
 from sassafrastally.stores.etcd import EtcdKv
 from sassafrastally.stores.interfaces import PlatformUnavailable, VmList, VmState, WeightStore
@@ -37,8 +37,8 @@
     "DEFAULT_BUDGETS",
     "MAX_VALUE_BYTES",
     "BackoffLimits",
+    "CircuitBreaker",
     "EtcdKv",
-    "Gate",
     "HttpVmList",
     "HttpWeightStore",
     "Kv",
--- a/packages/stores/src/sassafrastally/stores/budget.py
+++ b/packages/stores/src/sassafrastally/stores/budget.py
@@ -1,7 +1,7 @@
-"""Call budgets of the KV service, one for each purpose.
+"""Call budgets for the KV service, one token bucket per purpose.
 
-The service counts each call and its rates grow more slowly than the fleet. With one budget for
-all, a burst of one purpose would use up what the others need; a bucket each keeps them apart.
+The service meters each call, and its rate limits grow more slowly than the fleet. With one shared
+budget, a burst of calls for one purpose would starve the others, so each has its own bucket.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class TokenBucket:
-    """Lets through a rate of calls and short bursts above it.
+    """Token bucket that limits a call rate and allows short bursts above it.
 
     Parameters
     ----------
     rate_per_s
-        Tokens that come back each second.
+        Tokens added per second.
     burst
-        Tokens that the bucket holds at most; it starts full.
+        Capacity of the bucket; it starts full.
     """
 
     def __init__(self, rate_per_s: float, burst: int) -> None:
@@ -38,7 +38,7 @@
         self._updated_s = trio.current_time()
 
     def take(self) -> float:
-        """Take a token; return 0, or the seconds until there is one when there is none."""
+        """Take a token and return 0, or return the seconds until one is available."""
         now_s = trio.current_time()
         refilled = self._tokens + (now_s - self._updated_s) * self.rate_per_s
         self._tokens = min(float(self.burst), refilled)
@@ -50,12 +50,12 @@
 
 
 class PurposeBudgets:
-    """The buckets of a process, by purpose.
+    """Token buckets of a process, by purpose.
 
     Parameters
     ----------
     overrides
-        Budgets that take the place of `DEFAULT_BUDGETS` for their purposes.
+        Budgets that override `DEFAULT_BUDGETS` for their purposes.
     """
 
     def __init__(self, overrides: Iterable[PurposeBudget] = ()) -> None:
@@ -67,28 +67,28 @@
 
     @property
     def purposes(self) -> frozenset[str]:
-        """The purposes that have a budget."""
+        """Purposes that have a budget."""
         return frozenset(self._buckets)
 
     def require(self, purpose: str) -> None:
-        """Raise `KvRequestInvalid` when the purpose has no budget."""
+        """Raise `KvRequestInvalid` if the purpose has no budget."""
         if purpose not in self._buckets:
             known = ", ".join(sorted(self._buckets))
             raise KvRequestInvalid(f"no KV budget for the purpose {purpose!r}; known: {known}")
 
     def spend(self, purpose: str) -> None:
-        """Take one call out of a purpose's budget.
+        """Take one call from the budget of a purpose.
 
         Raises
         ------
         KvBudgetSpent
-            When it is spent; the call must not be sent.
+            If the budget is exhausted; the call must not be sent.
         KvRequestInvalid
-            When the purpose has no budget.
+            If the purpose has no budget.
         """
         self.require(purpose)
         wait_s = self._buckets[purpose].take()
         if wait_s > 0.0:
-            spent = KvBudgetSpent(f"the KV budget for {purpose} is spent")
+            spent = KvBudgetSpent(f"the KV budget for {purpose} is exhausted")
             spent.retry_after_s = wait_s
             raise spent
--- a/packages/stores/src/sassafrastally/stores/etcd.py
+++ b/packages/stores/src/sassafrastally/stores/etcd.py
@@ -11,7 +11,7 @@
 from sassafrastally.core import CodedError, counter
 from sassafrastally.core.kv import KvConflict, KvEntry, KvUnavailable, LeaseLost, MaybeApplied
 from sassafrastally.stores import gateway
-from sassafrastally.stores.backoff import BackoffLimits, Gate
+from sassafrastally.stores.backoff import BackoffLimits, CircuitBreaker
 from sassafrastally.stores.budget import PurposeBudgets
 from sassafrastally.stores.gateway_client import GatewayClient
 from sassafrastally.stores.requests import check_writes
@@ -24,75 +24,77 @@
     import httpx
 
     from sassafrastally.core.kv import KvEvent, KvWrite
-    from sassafrastally.stores.gateway_client import Lost
+    from sassafrastally.stores.gateway_client import LostAnswerError
     from sassafrastally.stores.settings import KvSettings
 
 KV_CALLS = counter("sassafrastally.kv.calls", "1", "Calls of the KV service by purpose and result.")
 
 
 class EtcdKv:
-    """The KV service over HTTP.
+    """`Kv` implementation over HTTP.
 
     Parameters
     ----------
     settings
         Address, time limits and budgets.
     random
-        Source of jitter.
+        Random number generator for the jitter.
     """
 
     def __init__(self, settings: KvSettings, random: Random) -> None:
         self._settings = settings
         self._client = GatewayClient(settings)
         self._budgets = PurposeBudgets(settings.budgets)
-        # The wait for re-entry comes out of the call's time limit; half of it stays for the call.
+        # The recovery delay counts against the call's time limit; half of it is left for the call.
         reentry_s = min(settings.reentry_s, settings.call_time_limit_s / 2)
         limits = BackoffLimits(settings.backoff_base_s, settings.backoff_cap_s, reentry_s)
-        self._gates = {purpose: Gate(limits, random) for purpose in self._budgets.purposes}
+        self._breakers = {
+            purpose: CircuitBreaker(limits, random) for purpose in self._budgets.purposes
+        }
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self._client.aclose()
 
     async def get(self, key: str, *, purpose: str) -> KvEntry | None:
-        """Return an entry, linearizably; ``None`` when there is none."""
+        """Return an entry by a linearizable read; ``None`` if the key doesn't exist."""
         request = gateway.RangeRequest(key=gateway.encode_key(key))
         body = await self._call(gateway.RANGE_PATH, request, purpose, KvUnavailable)
         entries = body.get("kvs", [])
         return gateway.decode_entry(entries[0]) if entries else None
 
     async def get_prefix(self, prefix: str, *, purpose: str, limit: int = 0) -> list[KvEntry]:
-        """Return the entries whose key starts with a prefix, by key; 0 is no limit."""
+        """Return the entries with a key prefix, sorted by key; a limit of 0 means no limit."""
         request = gateway.prefix_request(prefix, limit)
         body = await self._call(gateway.RANGE_PATH, request, purpose, KvUnavailable)
         return [gateway.decode_entry(entry) for entry in body.get("kvs", [])]
 
     async def write(self, writes: Sequence[KvWrite], *, purpose: str) -> int:
-        """Do all writes or none; return the revision."""
+        """Apply all writes or none; return the revision."""
         check_writes(writes)
         request = gateway.encode_txn(writes)
         body = await self._call(gateway.TXN_PATH, request, purpose, MaybeApplied)
         if not body.get("succeeded", False):
-            raise KvConflict(f"{writes[0].key}: another revision than expected")
+            raise KvConflict(f"{writes[0].key}: unexpected revision")
         return gateway.revision_of(body)
 
     async def grant_lease(self, time_to_live_s: float, *, purpose: str) -> int:
-        """Return the id of a new lease; its time is rounded up to whole seconds."""
+        """Create a lease and return its id; its time to live is rounded up to whole seconds."""
         request = {"TTL": str(math.ceil(time_to_live_s))}
         body = await self._call(gateway.LEASE_GRANT_PATH, request, purpose, MaybeApplied)
         return int(body["ID"])
 
     async def keep_lease(self, lease_id: int, *, purpose: str) -> float:
-        """Renew a lease; return its remaining time in seconds."""
+        """Renew a lease and return its remaining time in seconds."""
         request = {"ID": str(lease_id)}
         body = await self._call(gateway.LEASE_KEEPALIVE_PATH, request, purpose, MaybeApplied)
         remaining_s = float(body.get("result", {}).get("TTL", 0))
         if remaining_s <= 0.0:
-            raise LeaseLost(f"lease {lease_id} has lapsed")
+            raise LeaseLost(f"lease {lease_id} has expired")
         return remaining_s
 
     async def revoke_lease(self, lease_id: int, *, purpose: str) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         request = {"ID": str(lease_id)}
         await self._call(gateway.LEASE_REVOKE_PATH, request, purpose, MaybeApplied)
 
@@ -100,7 +102,7 @@
     async def watch(
         self, prefix: str, *, from_revision: int, purpose: str
     ) -> AsyncIterator[AsyncIterator[KvEvent]]:
-        """Watch the keys under a prefix from a revision on; 0 is from now on."""
+        """Watch the keys with a prefix, starting at a revision; 0 starts at the current one."""
 
         async def open_stream(request: Mapping[str, Any]) -> httpx.Response:
             limit_s = self._settings.call_time_limit_s
@@ -113,7 +115,7 @@
             from_revision,
             open_stream,
             self._settings.watch_renewal_s,
-            on_cut=lambda: self._gate(purpose).report_failure(),
+            on_interrupted=lambda: self._breaker(purpose).report_failure(),
         )
         try:
             await watch.open()
@@ -122,24 +124,24 @@
             await watch.aclose()
 
     async def _call(
-        self, path: str, body: Mapping[str, Any], purpose: str, lost: Lost
+        self, path: str, body: Mapping[str, Any], purpose: str, lost_answer_error: LostAnswerError
     ) -> dict[str, Any]:
         limit_s = self._settings.call_time_limit_s
         with self._admission(purpose) as wait_s:
             await trio.sleep(wait_s)
-            return await self._client.post(path, body, lost, limit_s - wait_s)
+            return await self._client.post(path, body, lost_answer_error, limit_s - wait_s)
 
-    def _gate(self, purpose: str) -> Gate:
+    def _breaker(self, purpose: str) -> CircuitBreaker:
         self._budgets.require(purpose)
-        return self._gates[purpose]
+        return self._breakers[purpose]
 
     @contextmanager
     def _admission(self, purpose: str) -> Iterator[float]:
-        """Let one call through, count it and yield the seconds that it must wait first."""
+        """Admit and count one call; yield the delay in seconds before it may be sent."""
         result = "ok"
         try:
-            gate = self._gate(purpose)
-            with gate.admit() as wait_s:
+            breaker = self._breaker(purpose)
+            with breaker.admit() as wait_s:
                 self._budgets.spend(purpose)
                 yield wait_s
         except CodedError as cause:
--- a/packages/stores/src/sassafrastally/stores/gateway.py
+++ b/packages/stores/src/sassafrastally/stores/gateway.py
@@ -1,7 +1,7 @@
-"""The JSON form of etcd's v3 gateway, for the client and the stand-in.
+"""JSON encoding of the etcd v3 gateway, used by the client and by the fake server.
 
-Keys and values are base64, 64-bit integers are strings, and fields with their zero value are left
-out. The names are etcd's own.
+Keys and values are base64, 64-bit integers are strings, and fields with a zero value are omitted.
+The names are those of etcd.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 LEASE_NOT_FOUND = "etcdserver: requested lease not found"
 
 NOT_APPLIED = frozenset({NO_LEADER, TOO_MANY_REQUESTS})
-"""Messages of refusals before a write is proposed; any other failure may come after it."""
+"""Errors returned before a write is proposed; any other error may be returned after that."""
 
 
 class RangeRequest(TypedDict, total=False):
-    """Body of a range call."""
+    """Body of a range request."""
 
     key: str
     range_end: str
@@ -44,7 +44,7 @@
 
 
 class GatewayError(TypedDict):
-    """Body of a failed call."""
+    """Body of an error response."""
 
     error: str
     code: int
@@ -52,22 +52,22 @@
 
 
 def encode_bytes(data: bytes) -> str:
-    """Return the base64 form."""
+    """Encode bytes as base64."""
     return base64.b64encode(data).decode("ascii")
 
 
 def encode_key(key: str) -> str:
-    """Return the base64 form of a key."""
+    """Encode a key as base64."""
     return encode_bytes(key.encode())
 
 
 def decode_key(text: str) -> str:
-    """Return the key of a base64 form."""
+    """Decode a key from base64."""
     return base64.b64decode(text).decode()
 
 
 def prefix_request(prefix: str, limit: int = 0) -> RangeRequest:
-    """Return the range of all keys with a prefix; an empty one means all keys."""
+    """Return the range request for all keys with a prefix; an empty prefix means all keys."""
     raw = prefix.encode()
     request = RangeRequest(key=encode_bytes(raw or b"\0"), range_end=encode_bytes(prefix_end(raw)))
     if limit:
@@ -76,7 +76,7 @@
 
 
 def encode_txn(writes: Sequence[KvWrite]) -> dict[str, Any]:
-    """Return the body of a transaction that does all writes if all keys are as expected."""
+    """Encode a transaction that applies all writes if all keys have the expected revisions."""
     return {
         "compare": [
             {
@@ -103,7 +103,7 @@
 
 
 def decode_txn(body: dict[str, Any]) -> list[KvWrite]:
-    """Return the writes of a transaction in the form that `encode_txn` gives it."""
+    """Decode the writes of a transaction encoded by `encode_txn`."""
     expected = {
         compare["key"]: int(compare.get("mod_revision", 0)) for compare in body.get("compare", [])
     }
@@ -119,7 +119,7 @@
 
 
 def encode_entry(entry: KvEntry) -> dict[str, Any]:
-    """Return the JSON form of an entry."""
+    """Encode an entry as JSON."""
     encoded = {
         "key": encode_key(entry.key),
         "value": encode_bytes(entry.value),
@@ -131,7 +131,7 @@
 
 
 def decode_entry(body: dict[str, Any]) -> KvEntry:
-    """Return the entry of a JSON form."""
+    """Decode an entry from JSON."""
     return KvEntry(
         decode_key(body["key"]),
         base64.b64decode(body.get("value", "")),
@@ -141,7 +141,7 @@
 
 
 def encode_event(change: KvEvent) -> dict[str, Any]:
-    """Return the JSON form of a change."""
+    """Encode a change as JSON."""
     entry = {"key": encode_key(change.key), "mod_revision": str(change.mod_revision)}
     if change.value is None:
         return {"type": "DELETE", "kv": entry}
@@ -149,12 +149,12 @@
 
 
 def decode_event(body: dict[str, Any]) -> KvEvent:
-    """Return the change of a JSON form."""
+    """Decode a change from JSON."""
     entry = decode_entry(body["kv"])
     value = None if body.get("type") == "DELETE" else entry.value
     return KvEvent(entry.key, value, entry.mod_revision)
 
 
 def revision_of(body: dict[str, Any]) -> int:
-    """Return the revision of the service that an answer's header carries."""
+    """Return the store revision from the header of a response."""
     return int(body.get("header", {}).get("revision", 0))
--- a/packages/stores/src/sassafrastally/stores/gateway_client.py
+++ b/packages/stores/src/sassafrastally/stores/gateway_client.py
@@ -1,4 +1,4 @@
-"""Sends calls to the JSON gateway and says what is known when one fails."""
+"""HTTP client of the JSON gateway that classifies failed calls by whether they were applied."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
     from sassafrastally.stores.settings import KvSettings
 
-SENT_EVENT = "send_request_headers.started"
-"""End of the name of the transport's trace event after which a request may have left."""
+SEND_STARTED_EVENT = "send_request_headers.started"
+"""Suffix of the transport's trace event after which the request may have been sent."""
 
-Lost = type[KvUnavailable] | type[MaybeApplied]
-"""What a call whose answer is lost raises: `KvUnavailable` when it only reads."""
+LostAnswerError = type[KvUnavailable] | type[MaybeApplied]
+"""Error raised for a call whose response is lost: `KvUnavailable` if the call only reads."""
 
 
-class Sending:
-    """Notes whether the transport has begun to send a request."""
+class SendTracker:
+    """Tracks whether the transport has started to send a request."""
 
     def __init__(self) -> None:
-        self.may_have_left = False
+        self.may_have_been_sent = False
 
     async def trace(self, event_name: str, _info: dict[str, Any]) -> None:
-        """Take a trace event of the transport."""
-        if event_name.endswith(SENT_EVENT):
-            self.may_have_left = True
+        """Handle a trace event of the transport."""
+        if event_name.endswith(SEND_STARTED_EVENT):
+            self.may_have_been_sent = True
 
 
 class GatewayClient:
-    """HTTP connections to the gateway.
+    """HTTP client with a connection pool to the gateway.
 
     Parameters
     ----------
     settings
-        Address and bounds.
+        Address and connection limit.
     """
 
     def __init__(self, settings: KvSettings) -> None:
@@ -57,56 +57,64 @@
         await self._client.aclose()
 
     async def post(
-        self, path: str, body: Mapping[str, Any], lost: Lost, time_limit_s: float
+        self,
+        path: str,
+        body: Mapping[str, Any],
+        lost_answer_error: LostAnswerError,
+        time_limit_s: float,
     ) -> dict[str, Any]:
-        """Make one call and return the body of its answer.
+        """Send one call and return the body of its response.
 
         Raises
         ------
         KvUnavailable
-            When the call was certainly not applied.
+            If the call was definitely not applied.
         MaybeApplied
-            When `lost` says so and the answer to a call that may have left is missing.
+            If it is `lost_answer_error` and a call that may have been sent got no valid response.
         LeaseLost
-            When the lease is gone.
+            If the lease doesn't exist.
         """
-        sending = Sending()
+        tracker = SendTracker()
         try:
             with trio.fail_after(time_limit_s):
                 response = await self._client.post(
-                    path, json=body, extensions={"trace": sending.trace}
+                    path, json=body, extensions={"trace": tracker.trace}
                 )
         except (httpx.TransportError, trio.TooSlowError) as cause:
-            # Until the first byte of the request is written the service can't have seen it; after
-            # that nothing is known: the request or its answer may be what was lost.
-            if sending.may_have_left:
-                raise lost(f"{path}: no answer: {cause!r}") from cause
+            # Before the first byte of the request is written, the service can't have received it.
+            # After that the outcome is unknown: either the request or its response may be lost.
+            if tracker.may_have_been_sent:
+                raise lost_answer_error(f"{path}: no response: {cause!r}") from cause
             raise KvUnavailable(f"{path}: not sent: {cause!r}") from cause
-        return _answer_of(response, path, lost)
+        return _parse_answer(response, path, lost_answer_error)
 
     async def open_stream(
         self, path: str, body: Mapping[str, Any], time_limit_s: float
     ) -> httpx.Response:
-        """Begin a call whose answer is read line by line; the caller closes the response."""
+        """Start a call with a streaming response, which the caller must close."""
         request = self._client.build_request("POST", path, json=body)
         try:
             with trio.fail_after(time_limit_s):
                 response = await self._client.send(request, stream=True)
         except (httpx.TransportError, trio.TooSlowError) as cause:
-            raise KvUnavailable(f"{path}: no answer: {cause!r}") from cause
+            raise KvUnavailable(f"{path}: no response: {cause!r}") from cause
         if response.status_code != httpx.codes.OK:
             await response.aclose()
             raise KvUnavailable(f"{path}: HTTP status {response.status_code}")
         return response
 
 
-def _answer_of(response: httpx.Response, path: str, lost: Lost) -> dict[str, Any]:
+def _parse_answer(
+    response: httpx.Response, path: str, lost_answer_error: LostAnswerError
+) -> dict[str, Any]:
     try:
         body = response.json()
     except (json.JSONDecodeError, UnicodeDecodeError) as cause:
-        raise lost(f"{path}: HTTP status {response.status_code} without JSON") from cause
+        raise lost_answer_error(
+            f"{path}: HTTP status {response.status_code} without JSON"
+        ) from cause
     if not isinstance(body, dict):
-        raise lost(f"{path}: the answer is no object")
+        raise lost_answer_error(f"{path}: the response is not a JSON object")
     if response.status_code == httpx.codes.OK:
         return body
     message = str(body.get("message", ""))
@@ -114,4 +122,4 @@
         raise LeaseLost(f"{path}: {message}")
     if message in gateway.NOT_APPLIED:
         raise KvUnavailable(f"{path}: {message}")
-    raise lost(f"{path}: HTTP status {response.status_code}: {message}")
+    raise lost_answer_error(f"{path}: HTTP status {response.status_code}: {message}")
--- a/packages/stores/src/sassafrastally/stores/interfaces.py
+++ b/packages/stores/src/sassafrastally/stores/interfaces.py
@@ -1,23 +1,23 @@
-"""Interfaces of the platform beside its KV service: VM list and weight store.
+"""Interfaces of the platform services other than the KV service: VM list and weight store.
 
-The HTTP clients of this package implement them; tests put fakes in their place.
+The HTTP clients of this package implement them; tests replace them with fakes.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple, Protocol
 
-# Address at run time too: settings of a VM list are checked against the types below.
+# Address is needed at run time: VM list settings are validated against the types below.
 from sassafrastally.core import Address, CodedError, error
 
 
 @error(3006)
 class PlatformUnavailable(CodedError):
-    """The VM list or the weight store doesn't answer."""
+    """The VM list or the weight store doesn't respond."""
 
 
 class VmState(NamedTuple):
-    """One line of the VM list."""
+    """Entry of the VM list."""
 
     vm: str
     role: str
@@ -25,15 +25,15 @@
     data_centre: str
     region: str
     peer_address: Address
-    """Where the process takes links."""
+    """Address where the process accepts links."""
     leaving: bool = False
 
 
 class VmList(Protocol):
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which may be stale."""
 
     async def list_vms(self) -> list[VmState]:
-        """Return the live and leaving VMs; raises `PlatformUnavailable`."""
+        """Return the running and leaving VMs; raises `PlatformUnavailable`."""
         ...
 
 
@@ -41,5 +41,5 @@
     """The platform's rate-limited store of model weights."""
 
     async def reserve_load(self, model: str, version: str) -> float:
-        """Return after how many seconds a load may begin; raises `PlatformUnavailable`."""
+        """Return the delay in seconds before a load may start; raises `PlatformUnavailable`."""
         ...
--- a/packages/stores/src/sassafrastally/stores/readback.py
+++ b/packages/stores/src/sassafrastally/stores/readback.py
@@ -1,8 +1,8 @@
-"""Writes whose lost answers are resolved by reading back.
+"""Writes that are read back if their response is lost.
 
-The KV service may apply a write and lose the answer. A caller that took that for a failure would
-do its work twice; one that took it for success might never have it done. The writer therefore
-puts a token of its own into the value and looks for it.
+The KV service may apply a write although the response is lost. A caller that treats this as a
+failure would do its work twice; one that treats it as a success might never get it done. The
+writer therefore puts a unique token into the value and looks for it.
 """
 
 from __future__ import annotations
@@ -34,42 +34,42 @@
     time_limit_s: float,
     random: Random,
 ) -> int:
-    """Do all writes or none, and find out which when the answer is lost.
+    """Apply all writes or none, and determine the outcome if the response is lost.
 
     Parameters
     ----------
     kv
         The KV service.
     writes
-        The transaction. The first write is conditional and carries the caller's token.
+        The transaction. The first write must be conditional and contain the caller's token.
     is_own
-        Tells from the entry of the first write's key whether the caller's token is in it.
+        Returns whether the entry of the first write's key contains the caller's token.
     purpose
-        Purpose of all calls.
+        Purpose of all KV calls.
     time_limit_s
-        Time after which an open question stays open.
+        Time after which an unresolved outcome is reported as unknown.
     random
-        Source of the jitter between calls.
+        Random number generator for the jitter between calls.
 
     Returns
     -------
     int
-        Revision of the write or, when it was found by reading back, of the entry.
+        Revision of the write, or of the entry if it was found by reading back.
 
     Raises
     ------
     KvConflict
-        When another revision was found: the write had no effect and will have none.
+        If another revision was found: the write has not been and will not be applied.
     KvUnavailable
-        When the write was certainly not sent.
+        If the write was definitely not sent.
     MaybeApplied
-        When the time limit passed before the question was settled.
+        If the time limit passed before the outcome was determined.
 
     Notes
     -----
-    An entry without the token doesn't prove that the write failed: it may still be on its way. It
-    is sent again then, which is safe because the first write is conditional: of the two copies
-    one at most finds the expected revision. Whoever comes second meets a conflict, reads back and
+    An entry without the token doesn't prove that the write failed: it may still be in flight. The
+    write is then sent again, which is safe because the first write is conditional: at most one of
+    the two copies finds the expected revision. If the second copy gets a conflict, reading back
     finds the token.
     """
     if writes[0].expected_revision == ANY_REVISION:
@@ -80,11 +80,13 @@
     except MaybeApplied as cause:
         remaining_s = max(started_s + time_limit_s - trio.current_time(), 0.0)
         with trio.move_on_after(remaining_s):
-            return await _settle(kv, writes, is_own, purpose, random)
-        raise MaybeApplied(f"{writes[0].key}: not settled within {time_limit_s} s") from cause
+            return await _resolve(kv, writes, is_own, purpose, random)
+        raise MaybeApplied(
+            f"{writes[0].key}: outcome still unknown after {time_limit_s} s"
+        ) from cause
 
 
-async def _settle(
+async def _resolve(
     kv: Kv,
     writes: Sequence[KvWrite],
     is_own: Callable[[KvEntry | None], bool],
--- a/packages/stores/src/sassafrastally/stores/requests.py
+++ b/packages/stores/src/sassafrastally/stores/requests.py
@@ -1,4 +1,4 @@
-"""Bounds that every request to the KV service keeps."""
+"""Limits on requests to the KV service."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 """`KvWrite.expected_revision` of an unconditional write."""
 
 MAX_WRITES = 128
-"""Most writes in one transaction; the service's own default."""
+"""Maximum number of writes in one transaction; the default of the service."""
 
 
 @error(3007)
 class KvRequestInvalid(CodedError):
-    """The request breaks a bound of the KV service: it was not sent."""
+    """The request exceeds a limit of the KV service and was not sent."""
 
 
 def check_writes(writes: Sequence[KvWrite]) -> None:
@@ -30,12 +30,12 @@
     Raises
     ------
     KvRequestInvalid
-        When there is none or too many, a key stands twice, or a value is too long.
+        If there are no writes or too many, a key is empty or duplicated, or a value is too long.
     """
     if not 1 <= len(writes) <= MAX_WRITES:
         raise KvRequestInvalid(f"{len(writes)} writes in one transaction")
     if len({write.key for write in writes}) < len(writes):
-        raise KvRequestInvalid("a key stands twice in one transaction")
+        raise KvRequestInvalid("duplicate key in one transaction")
     for write in writes:
         if not write.key:
             raise KvRequestInvalid("a key is empty")
@@ -44,6 +44,6 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """Return the first key after all keys with a prefix; one null byte means no end."""
+    """Return the end of the key range of a prefix; a single null byte means no end."""
     trimmed = prefix.rstrip(b"\xff")
     return trimmed[:-1] + bytes([trimmed[-1] + 1]) if trimmed else b"\0"
--- a/packages/stores/src/sassafrastally/stores/service.py
+++ b/packages/stores/src/sassafrastally/stores/service.py
@@ -1,4 +1,4 @@
-"""The platform as a service of the kernel."""
+"""Kernel service with the platform clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlatformService(Service):
-    """Holds the clients of the platform for the other services of the process."""
+    """Provides the platform clients to the other services of the process."""
 
     name: ClassVar[str] = "platform"
 
--- a/packages/stores/src/sassafrastally/stores/settings.py
+++ b/packages/stores/src/sassafrastally/stores/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform's clients."""
+"""Settings of the platform clients."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class PurposeBudget(NamedTuple):
-    """How many calls of the KV service a process may make for one purpose."""
+    """Limit on the KV calls of a process for one purpose."""
 
     purpose: str
     calls_per_s: float
     burst: int
-    """Calls that may be made at once after a quiet time."""
+    """Calls that may be made at once after an idle period."""
 
 
 DEFAULT_BUDGETS = (
@@ -25,48 +25,48 @@
     PurposeBudget("admin", calls_per_s=10.0, burst=60),
     PurposeBudget("limits", calls_per_s=10.0, burst=40),
 )
-"""Every purpose that calls may be made for, with its budget unless the settings say another."""
+"""All valid call purposes with their default budgets, which the settings can override."""
 
 
 @section("kv")
 class KvSettings(NamedTuple):
-    """The client of the KV service."""
+    """Settings of the KV service client."""
 
     address: Address
-    """Where the service answers."""
+    """Address of the service."""
     call_time_limit_s: float = 2.0
-    """Time limit of one call, waits for re-entry after an outage included."""
+    """Time limit of one call, including the recovery delay after an outage."""
     watch_renewal_s: float = 10.0
-    """A watch that was silent for so long is opened anew: a half-open connection stays silent."""
+    """Idle time after which a watch is reopened, because a half-open connection gets no events."""
     max_connections: int = 16
-    """Connections to the service at most; each waiting watch holds one."""
+    """Maximum number of connections to the service; each watch uses one."""
     backoff_base_s: float = 0.1
-    """Bound of the first wait after a failed call; it doubles with each failed probe."""
+    """Upper bound of the first backoff delay in an outage; it doubles with each failed probe."""
     backoff_cap_s: float = 5.0
-    """Longest wait between probes in an outage."""
+    """Maximum delay between probes in an outage."""
     reentry_s: float = 1.0
-    """Time after an outage over which the first calls are spread."""
+    """Recovery period after an outage over which the first calls are spread."""
     budgets: tuple[PurposeBudget, ...] = ()
-    """Budgets that take the place of the defaults for their purposes."""
+    """Budgets that override the defaults for their purposes."""
 
 
 @section("vm_list")
 class VmListSettings(NamedTuple):
-    """The client of the VM list."""
+    """Settings of the VM list client."""
 
     address: Address
-    """Where the list answers."""
+    """Address of the VM list."""
     poll_interval_s: float = 2.0
-    """Mean time between two polls; each is moved at random by up to a quarter."""
+    """Mean poll interval; each interval is randomized by up to a quarter."""
     call_time_limit_s: float = 2.0
     """Time limit of one poll."""
 
 
 @section("weight_store")
 class WeightStoreSettings(NamedTuple):
-    """The client of the weight store."""
+    """Settings of the weight store client."""
 
     address: Address | None = None
-    """Where the store answers; without it the process loads no weights."""
+    """Address of the weight store; without it the process loads no weights."""
     call_time_limit_s: float = 2.0
     """Time limit of one call."""
--- a/packages/stores/src/sassafrastally/stores/setup.py
+++ b/packages/stores/src/sassafrastally/stores/setup.py
@@ -1,4 +1,4 @@
-"""Puts the platform's clients together from the settings."""
+"""Creates the platform clients from the settings."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def make_platform(settings: Settings, random: Random | None = None) -> PlatformService:
-    """Return the platform over HTTP.
+    """Create the platform service with its HTTP clients.
 
     Parameters
     ----------
     settings
-        The process's settings.
+        Settings of the process.
     random
-        Source of jitter; the system's by default.
+        Random number generator for the jitter; defaults to the system's generator.
     """
     store = settings.get(WeightStoreSettings)
     return PlatformService(
--- a/packages/stores/src/sassafrastally/stores/vm_list.py
+++ b/packages/stores/src/sassafrastally/stores/vm_list.py
@@ -1,9 +1,9 @@
 """Client of the platform's VM list.
 
-``GET /vms`` answers with a JSON object ``{"vms": [...]}``; each line has the fields of `VmState`,
-with the peer address as ``IP:port``. At the target size the list has some 1,840 lines: sent whole
-at each poll it would use up a node's share of the network many times over. So the client offers
-gzip and asks with ``If-None-Match``; an unchanged list is a short ``304``.
+``GET /vms`` returns a JSON object ``{"vms": [...]}``; each entry has the fields of `VmState`, with
+the peer address as ``IP:port``. At the target size the list has about 1,840 entries, and sending it
+in full at each poll would exceed a node's share of the network many times over. The client
+therefore accepts gzip and sends ``If-None-Match``; an unchanged list is a short ``304`` response.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class VmLine(TypedDict):
-    """One VM in JSON."""
+    """JSON object of a VM."""
 
     vm: str
     role: str
@@ -34,7 +34,7 @@
 
 
 class HttpVmList:
-    """The VM list over HTTP."""
+    """`VmList` implementation over HTTP."""
 
     def __init__(self, settings: VmListSettings) -> None:
         self._time_limit_s = settings.call_time_limit_s
@@ -49,7 +49,7 @@
         await self._client.aclose()
 
     async def list_vms(self) -> list[VmState]:
-        """Return the live and leaving VMs; raises `PlatformUnavailable`."""
+        """Return the running and leaving VMs; raises `PlatformUnavailable`."""
         try:
             with trio.fail_after(self._time_limit_s):
                 headers = {"If-None-Match": self._etag} if self._etag else {}
@@ -59,16 +59,16 @@
             response.raise_for_status()
             vms = [decode_vm(line) for line in response.json()["vms"]]
         except (httpx.HTTPError, trio.TooSlowError) as cause:
-            raise PlatformUnavailable(f"the VM list doesn't answer: {cause!r}") from cause
+            raise PlatformUnavailable(f"the VM list doesn't respond: {cause!r}") from cause
         except (KeyError, TypeError, ValueError) as cause:
-            raise PlatformUnavailable(f"the VM list can't be read: {cause!r}") from cause
+            raise PlatformUnavailable(f"invalid response from the VM list: {cause!r}") from cause
         self._etag = response.headers.get("ETag", "")
         self._last = vms
         return list(vms)
 
 
 def encode_vm(state: VmState) -> VmLine:
-    """Return the JSON form of a VM."""
+    """Encode a VM as JSON."""
     return VmLine(
         vm=state.vm,
         role=state.role,
@@ -80,7 +80,7 @@
 
 
 def decode_vm(line: dict[str, Any]) -> VmState:
-    """Return the VM of a JSON form; raises `KeyError` or `ValueError` when it is none."""
+    """Decode a VM from JSON; raises `KeyError` or `ValueError` if it is invalid."""
     host, _, port = str(line["peer_address"]).rpartition(":")
     return VmState(
         vm=str(line["vm"]),
--- a/packages/stores/src/sassafrastally/stores/watch.py
+++ b/packages/stores/src/sassafrastally/stores/watch.py
@@ -1,4 +1,4 @@
-"""A watch over the JSON gateway."""
+"""Watch over the JSON gateway."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class EtcdWatch:
-    """Iterates over the changes under a prefix.
+    """Iterator over the changes to keys with a prefix.
 
-    A watch on a half-open connection stays silent for ever although changes happen: operators
-    would see a node stuck on an old bundle. So a watch that was silent for the renewal time is
-    opened anew from the next revision; the service's history fills the gap.
+    A watch on a half-open connection never receives the changes, which would leave a node on an old
+    bundle. A watch that received nothing for the renewal time is therefore reopened from the next
+    revision, and the service replays the changes in between from its history.
 
     Parameters
     ----------
     prefix
-        Start of the keys.
+        Key prefix.
     from_revision
-        First revision of interest; 0 is from now on.
+        First revision to report; 0 starts at the current revision.
     open_stream
-        Begins a watch call with the body given.
+        Starts a watch call with the given body.
     renewal_s
-        Silence after which the watch is opened anew.
-    on_cut
-        Is called when the service or the network cuts the watch.
+        Idle time after which the watch is reopened.
+    on_interrupted
+        Called when the service or the network interrupts the watch.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         from_revision: int,
         open_stream: Callable[[Mapping[str, Any]], Awaitable[httpx.Response]],
         renewal_s: float,
-        on_cut: Callable[[], None],
+        on_interrupted: Callable[[], None],
     ) -> None:
         self._prefix = prefix
         self._next_revision = from_revision
         self._open_stream = open_stream
         self._renewal_s = renewal_s
-        self._on_cut = on_cut
+        self._on_interrupted = on_interrupted
         self._events: deque[KvEvent] = deque()
         self._response: httpx.Response | None = None
         self._lines: AsyncIterator[str] | None = None
@@ -72,7 +72,7 @@
         return change
 
     async def open(self) -> None:
-        """Open the watch, or open it anew, and wait until the service says that it stands."""
+        """Open or reopen the watch and wait until the service confirms it."""
         await self.aclose()
         request: dict[str, Any] = dict(gateway.prefix_request(self._prefix))
         if self._next_revision:
@@ -81,7 +81,7 @@
         self._lines = self._response.aiter_lines()
         created = await self._next_result()
         if created is None or not created.get("created"):
-            raise self._cut("the service didn't create it")
+            raise self._interrupted("the service didn't create the watch")
         self._next_revision = self._next_revision or gateway.revision_of(created) + 1
 
     async def aclose(self) -> None:
@@ -91,21 +91,23 @@
             await response.aclose()
 
     async def _next_result(self) -> dict[str, Any] | None:
-        """Return the next result; ``None`` after the renewal time without one."""
+        """Return the next result, or ``None`` if there is none within the renewal time."""
         if self._lines is None:
-            raise KvUnavailable(f"watch of {self._prefix}: closed")
+            raise KvUnavailable(f"watch of {self._prefix} is closed")
         try:
             with trio.move_on_after(self._renewal_s):
                 result = json.loads(await anext(self._lines)).get("result", {})
                 if result.get("canceled"):
-                    raise self._cut(f"canceled; history starts at {result.get('compact_revision')}")
+                    raise self._interrupted(
+                        f"canceled; history starts at {result.get('compact_revision')}"
+                    )
                 return dict(result)
         except StopAsyncIteration as cause:
-            raise self._cut("the service ended it") from cause
+            raise self._interrupted("the service closed the watch") from cause
         except (httpx.TransportError, httpx.StreamError, json.JSONDecodeError) as cause:
-            raise self._cut(repr(cause)) from cause
+            raise self._interrupted(repr(cause)) from cause
         return None
 
-    def _cut(self, reason: str) -> KvUnavailable:
-        self._on_cut()
-        return KvUnavailable(f"watch of {self._prefix} cut: {reason}")
+    def _interrupted(self, reason: str) -> KvUnavailable:
+        self._on_interrupted()
+        return KvUnavailable(f"watch of {self._prefix} interrupted: {reason}")
--- a/packages/stores/src/sassafrastally/stores/weight_store.py
+++ b/packages/stores/src/sassafrastally/stores/weight_store.py
@@ -1,6 +1,6 @@
 """Client of the platform's weight store.
 
-``POST /loads`` with ``{"model": ..., "version": ...}`` books a load and answers with
+``POST /loads`` with ``{"model": ..., "version": ...}`` reserves a load and returns
 ``{"wait_s": ...}``.
 """
 
@@ -20,12 +20,12 @@
 
 
 class HttpWeightStore:
-    """The weight store over HTTP.
+    """`WeightStore` implementation over HTTP.
 
     Parameters
     ----------
     address
-        Where the store answers.
+        Address of the weight store.
     time_limit_s
         Time limit of one call.
     """
@@ -41,12 +41,12 @@
         await self._client.aclose()
 
     async def reserve_load(self, model: str, version: str) -> float:
-        """Return after how many seconds a load may begin; raises `PlatformUnavailable`.
+        """Return the delay in seconds before a load may start; raises `PlatformUnavailable`.
 
         Notes
         -----
-        When the answer is lost the load stays booked and unused: the caller books another, and
-        the store's rate bounds what that costs.
+        If the response is lost, the load stays reserved but unused. The caller reserves another
+        one, and the store's rate limit bounds the cost.
         """
         try:
             with trio.fail_after(self._time_limit_s):
@@ -56,6 +56,8 @@
             response.raise_for_status()
             return float(response.json()["wait_s"])
         except (httpx.HTTPError, trio.TooSlowError) as cause:
-            raise PlatformUnavailable(f"the weight store doesn't answer: {cause!r}") from cause
+            raise PlatformUnavailable(f"the weight store doesn't respond: {cause!r}") from cause
         except (KeyError, TypeError, ValueError) as cause:
-            raise PlatformUnavailable(f"the weight store can't be read: {cause!r}") from cause
+            raise PlatformUnavailable(
+                f"invalid response from the weight store: {cause!r}"
+            ) from cause
--- a/packages/stores/tests/test_backoff.py
+++ b/packages/stores/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Tests of back-off and of the gate that keeps calls back in an outage."""
+"""Tests of exponential backoff and of the circuit breaker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 import pytest
 import trio
 
-from sassafrastally.stores import BackoffLimits, Gate, KvConflict, KvUnavailable, full_jitter
+from sassafrastally.stores import (
+    BackoffLimits,
+    CircuitBreaker,
+    KvConflict,
+    KvUnavailable,
+    full_jitter,
+)
 from sassafrastally.testing.kv_fake import FakeKv
 from sassafrastally.testing.kv_model import KvFaults, KvModel
 
@@ -24,20 +30,20 @@
 RETRY_S = 0.25
 
 
-def fail(gate: Gate) -> None:
-    with pytest.raises(KvUnavailable), gate.admit():
+def fail(breaker: CircuitBreaker) -> None:
+    with pytest.raises(KvUnavailable), breaker.admit():
         raise KvUnavailable("down")
 
 
-def closed_gate() -> Gate:
-    gate = Gate(LIMITS, Random(1))
-    fail(gate)
-    fail(gate)
-    return gate
+def open_breaker() -> CircuitBreaker:
+    breaker = CircuitBreaker(LIMITS, Random(1))
+    fail(breaker)
+    fail(breaker)
+    return breaker
 
 
 class TestFullJitter:
-    def test_waits_fill_the_range_under_the_bound(self) -> None:
+    def test_delays_cover_the_range_up_to_the_bound(self) -> None:
         waits = [full_jitter(3, 0.1, 5.0, Random(seed)) for seed in range(200)]
         assert min(waits) < 0.1
         assert 0.7 < max(waits) <= 0.8
@@ -46,75 +52,78 @@
         assert full_jitter(10_000, 0.1, 5.0, Random(1)) <= 5.0
 
 
-class TestGate:
-    async def test_a_lone_failure_leaves_it_open(self, autojump_clock: object) -> None:
-        gate = Gate(LIMITS, Random(1))
-        fail(gate)
-        with gate.admit() as wait_s:
+class TestCircuitBreaker:
+    async def test_a_single_failure_keeps_it_closed(self, autojump_clock: object) -> None:
+        breaker = CircuitBreaker(LIMITS, Random(1))
+        fail(breaker)
+        with breaker.admit() as wait_s:
             assert wait_s == 0.0
 
     async def test_calls_fail_at_once_while_the_service_is_down(
         self, autojump_clock: object
     ) -> None:
-        gate = closed_gate()
-        with pytest.raises(KvUnavailable) as caught, gate.admit():
-            raise AssertionError("the call was let through")
+        breaker = open_breaker()
+        with pytest.raises(KvUnavailable) as caught, breaker.admit():
+            raise AssertionError("the call was admitted")
         assert 0.0 < caught.value.retry_after_s <= LIMITS.base_s
 
     async def test_one_probe_at_a_time(self, autojump_clock: object) -> None:
-        gate = closed_gate()
+        breaker = open_breaker()
         await trio.sleep(LIMITS.base_s)
-        with gate.admit(), pytest.raises(KvUnavailable), gate.admit():
-            raise AssertionError("a second probe was let through")
-        assert not gate.is_closed
+        with breaker.admit(), pytest.raises(KvUnavailable), breaker.admit():
+            raise AssertionError("a second probe was admitted")
+        assert not breaker.is_open
 
-    async def test_a_cancelled_probe_lets_the_next_one_through(
-        self, autojump_clock: object
-    ) -> None:
-        """A caller gives up while its call is the probe. If the gate kept waiting for that probe,
-        no call of this purpose would ever be sent again although the service is back."""
-        gate = closed_gate()
+    async def test_a_cancelled_probe_admits_the_next_one(self, autojump_clock: object) -> None:
+        """Guards against a breaker that stays open for ever.
+
+        A caller is cancelled while its call is the probe. If the breaker kept waiting for that
+        probe, no call of this purpose would be sent again after the service has recovered."""
+        breaker = open_breaker()
         await trio.sleep(LIMITS.base_s)
-        with trio.move_on_after(1.0), gate.admit():
+        with trio.move_on_after(1.0), breaker.admit():
             await trio.sleep_forever()
-        with gate.admit():
+        with breaker.admit():
             pass
-        assert not gate.is_closed
+        assert not breaker.is_open
 
     async def test_calls_that_fail_together_count_once(self, autojump_clock: object) -> None:
-        """A cut fails fifty calls that were under way. Counted one by one they would push the wait
-        to its cap, and callers would be refused for seconds after the service is back."""
-        gate = Gate(LIMITS, Random(1))
+        """Guards against an excessive delay after one network failure.
+
+        The failure hits fifty calls in flight. Counted separately, they would raise the delay to
+        its cap, and calls would be rejected for seconds after the service has recovered."""
+        breaker = CircuitBreaker(LIMITS, Random(1))
 
         async def call() -> None:
-            with pytest.raises(KvUnavailable), gate.admit():
+            with pytest.raises(KvUnavailable), breaker.admit():
                 await trio.sleep(1.0)
-                raise KvUnavailable("cut")
+                raise KvUnavailable("connection lost")
 
         async with trio.open_nursery() as nursery:
             for _ in range(50):
                 nursery.start_soon(call)
-        assert not gate.is_closed
+        assert not breaker.is_open
 
-    async def test_a_conflict_is_an_answer(self, autojump_clock: object) -> None:
-        gate = closed_gate()
+    async def test_a_conflict_counts_as_a_success(self, autojump_clock: object) -> None:
+        breaker = open_breaker()
         await trio.sleep(LIMITS.base_s)
-        with pytest.raises(KvConflict), gate.admit():
+        with pytest.raises(KvConflict), breaker.admit():
             raise KvConflict("another revision")
-        assert not gate.is_closed
+        assert not breaker.is_open
 
 
 class TestRecovery:
-    async def test_no_stampede_after_an_outage(self, autojump_clock: object) -> None:
-        """The KV service is down for half a minute and comes back. All processes have callers
-        that wait; if each of them came at that moment, the service would get a thousand calls at
-        once, fail again, and callers would see one outage after another."""
+    async def test_no_thundering_herd_after_an_outage(self, autojump_clock: object) -> None:
+        """Guards against repeated outages caused by simultaneous retries.
+
+        The KV service recovers after half a minute while callers wait in all processes. If they
+        all retried at that moment, a thousand calls at once would overload the service again."""
         naive = await calls_after_recovery(lambda _seed: nullcontext)
-        gated = await calls_after_recovery(
-            lambda seed: Gate(LIMITS, Random(seed)).admit  # one gate for each process
+        protected = await calls_after_recovery(
+            lambda seed: CircuitBreaker(LIMITS, Random(seed)).admit  # one breaker per process
         )
         assert naive >= CLIENTS * CALLERS
-        assert gated < naive / 3
+        assert protected < naive / 3
 
 
 async def calls_after_recovery(make_admit: Callable[[int], Callable[[], object]]) -> int:
--- a/packages/stores/tests/test_etcd.py
+++ b/packages/stores/tests/test_etcd.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client of the KV service against the stand-in over loopback."""
+"""Tests of the HTTP client of the KV service against a fake server over loopback."""
 
 from __future__ import annotations
 
@@ -71,20 +71,22 @@
 
 
 class TestCertainty:
-    """What the client says of a call whose answer doesn't come."""
+    """Classification of calls that get no response."""
 
-    async def test_a_write_that_was_not_sent_is_certain(self) -> None:
-        """Nobody listens at the service's address. A claim that is called uncertain would refuse
-        the caller's booking as "unknown", and no retry could ever be allowed."""
+    async def test_a_write_that_was_not_sent_is_known_not_applied(self) -> None:
+        """Guards against a safe retry being reported as unsafe.
+
+        The connection to the service is refused. If the claim were reported as uncertain, the
+        caller's booking would end as "unknown" and could never be retried."""
         async with listening(never_answer) as address:
-            pass  # The port is free again, and nobody listens on it.
+            pass  # The listener is closed, so connections to the port are refused.
         kv = EtcdKv(KvSettings(address), Random(1))
         with pytest.raises(KvUnavailable, match="not sent"):
             await kv.write([WRITE], purpose="claims")
 
-    async def test_a_write_that_waited_for_a_connection_is_certain(self) -> None:
-        """The only connection is taken by a call that hangs. The second call ends at its time
-        limit without a byte sent, so it is known to have no effect."""
+    async def test_a_write_that_waited_for_a_connection_is_known_not_applied(self) -> None:
+        """A call that hangs uses the only connection. The second call reaches its time limit before
+        any byte is sent, so it is known to have no effect."""
         async with listening(never_answer) as address:
             limits = KvSettings(address, call_time_limit_s=SHORT_S, max_connections=1)
             kv = EtcdKv(limits, Random(1))
@@ -100,9 +102,11 @@
                 nursery.start_soon(write)
             assert sorted(outcomes) == ["KvUnavailable", "MaybeApplied"]
 
-    async def test_a_cut_after_the_request_leaves_a_write_open_and_a_read_not(self) -> None:
-        """The service takes the request and its connection is cut before the answer. A write may
-        have taken effect; calling it failed would run a booking twice."""
+    async def test_a_lost_response_is_uncertain_for_a_write_and_not_for_a_read(self) -> None:
+        """Guards against a booking that runs twice.
+
+        The service receives the request and the connection is closed before the response. A write
+        may have been applied, so it must not be reported as failed."""
         async with listening(close_after_request) as address:
             kv = EtcdKv(KvSettings(address), Random(1))
             with pytest.raises(MaybeApplied):
@@ -110,7 +114,7 @@
             with pytest.raises(KvUnavailable):
                 await kv.get("a/x", purpose="admin")
 
-    async def test_a_slow_answer_leaves_a_write_open(self) -> None:
+    async def test_a_late_response_leaves_a_write_uncertain(self) -> None:
         model = KvModel(Random(1))
         model.set_faults(KvFaults(delay_s=60.0))
         async with served(model, call_time_limit_s=SHORT_S) as kv:
@@ -128,7 +132,7 @@
                     await kv.get("a/x", purpose="claims")
         assert model.counts["range"] == 2
 
-    async def test_a_spent_budget_sends_nothing_and_leaves_the_others(self) -> None:
+    async def test_an_exhausted_budget_sends_nothing_and_spares_the_others(self) -> None:
         model = KvModel(Random(1))
         budget = PurposeBudget("admin", calls_per_s=0.001, burst=3)
         async with served(model, budgets=(budget,)) as kv:
@@ -154,7 +158,7 @@
         assert values == [b"1", None]
         assert model.counts["watch"] == 1
 
-    async def test_an_outage_cuts_the_watch(self) -> None:
+    async def test_an_outage_interrupts_the_watch(self) -> None:
         model = KvModel(Random(1))
         async with (
             served(model) as kv,
@@ -199,12 +203,12 @@
 class TestDifferential:
     @settings(derandomize=True, deadline=None, max_examples=30)
     @given(st.lists(STEPS | FAULTS, min_size=5, max_size=40))
-    def test_http_and_fake_give_the_same_answers(self, history: list[Step | KvFaults]) -> None:
+    def test_http_and_fake_clients_agree(self, history: list[Step | KvFaults]) -> None:
         trio.run(self.compare, history)
 
     async def compare(self, history: list[Step | KvFaults]) -> None:
         remote_model, local_model = KvModel(Random(3)), KvModel(Random(3))
-        # Without back-off: the in-process client has none, and each call must reach the service.
+        # Backoff is off: the in-process client has none, and each call must reach the service.
         async with served(remote_model, backoff_cap_s=0.0, reentry_s=0.0) as remote:
             local = FakeKv(local_model)
             for step in history:
@@ -224,7 +228,7 @@
 
 
 async def watched(kv: Kv) -> list[KvEvent]:
-    """Return all changes since the service began."""
+    """Return all changes since the first revision."""
     seen: list[KvEvent] = []
     async with kv.watch("", from_revision=1, purpose="admin") as changes:
         async for change in changes:
--- a/packages/stores/tests/test_readback.py
+++ b/packages/stores/tests/test_readback.py
@@ -1,4 +1,4 @@
-"""Tests of writes whose answers are lost."""
+"""Tests of writes whose responses are lost."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 OTHER = b"token-b"
 
 
-class LateKv(FakeKv):
-    """A client whose first write lands only when the second one is on its way."""
+class DelayedWriteKv(FakeKv):
+    """A client whose first write is applied only when the second one is sent."""
 
     def __init__(self, model: KvModel) -> None:
         super().__init__(model)
-        self.held: Sequence[KvWrite] = ()
-        self.sent = 0
+        self.delayed_writes: Sequence[KvWrite] = ()
+        self.write_count = 0
 
     async def write(self, writes: Sequence[KvWrite], *, purpose: str) -> int:
-        self.sent += 1
-        if self.sent == 1:
-            self.held = writes
+        self.write_count += 1
+        if self.write_count == 1:
+            self.delayed_writes = writes
             raise MaybeApplied("no answer in time")
-        self.model.transact(self.held)
+        self.model.transact(self.delayed_writes)
         return await super().write(writes, purpose=purpose)
 
 
@@ -62,11 +62,13 @@
 
 
 class TestWriteWithReadback:
-    async def test_a_lost_answer_is_resolved_by_the_own_token(
+    async def test_a_lost_response_is_resolved_by_the_token(
         self, model: KvModel, autojump_clock: object
     ) -> None:
-        """A booking is claimed, the claim takes effect and its answer is lost. Taken for a
-        failure, the retry would claim again and two crews would be sent."""
+        """Guards against a duplicate claim, which would send two crews for one booking.
+
+        The claim is applied but its response is lost; a retry that assumed a failure would claim
+        again."""
         model.set_faults(KvFaults(lose_answers=1))
         revision = await append(FakeKv(model))
         assert model.range(KEY) == KvEntry(KEY, TOKEN, revision)
@@ -75,25 +77,29 @@
     async def test_a_dropped_write_is_sent_again(
         self, model: KvModel, autojump_clock: object
     ) -> None:
-        """The claim is lost before it takes effect. Taken for done, the request would run without
-        its claim, and a retry through another entry would run it again."""
+        """Guards against a request that runs without its claim.
+
+        The claim is lost before it is applied. If it were assumed to be applied, a retry through
+        another entry would run the request again."""
         model.set_faults(KvFaults(drop_writes=1))
         await append(FakeKv(model))
         assert is_own(model.range(KEY))
 
-    async def test_a_write_that_lands_late_is_done_once(
+    async def test_a_delayed_write_is_applied_once(
         self, model: KvModel, autojump_clock: object
     ) -> None:
-        """The first copy of a write is delayed in the network: reading back shows nothing, the
-        write is sent again, and then both arrive. The second copy must neither take effect nor
-        be told to the caller as a conflict with somebody else."""
-        revision = await append(LateKv(model))
+        """The first copy of a write is delayed in the network: reading back finds nothing, the
+        write is sent again, and then both arrive. The second copy must neither be applied nor be
+        reported to the caller as a conflict with another writer."""
+        revision = await append(DelayedWriteKv(model))
         assert model.range(KEY) == KvEntry(KEY, TOKEN, revision)
         assert model.revision == revision
 
     async def test_another_writer_wins(self, model: KvModel, autojump_clock: object) -> None:
-        """Two entries claim the same key; one's write is lost on the way and the other's lands.
-        The first must learn that it lost: both running would double the booking."""
+        """Guards against a booking that runs twice.
+
+        Two entries claim the same key; the first write is lost in transit and the second is
+        applied. The first entry must get a conflict."""
         model.set_faults(KvFaults(drop_writes=1))
         model.transact([KvWrite(KEY, OTHER, 0)])
         with pytest.raises(KvConflict):
@@ -102,11 +108,11 @@
         assert entry is not None
         assert entry.value == OTHER
 
-    async def test_an_open_question_is_never_answered_by_a_guess(
+    async def test_an_unknown_outcome_is_reported_as_unknown(
         self, model: KvModel, autojump_clock: object
     ) -> None:
-        """The service goes down right after the write. Whether the claim stands can't be known
-        within the time limit; the caller must hear that and not "not run"."""
+        """The service goes down right after the write, so the outcome of the claim can't be
+        determined within the time limit. The caller must not be told "not run"."""
         model.set_faults(KvFaults(lose_answers=1))
         with pytest.raises(MaybeApplied):
             await write_with_readback(
@@ -118,15 +124,15 @@
                 random=Random(2),
             )
 
-    async def test_a_write_that_was_not_sent_stays_certain(
+    async def test_a_write_that_was_not_sent_is_known_not_applied(
         self, model: KvModel, autojump_clock: object
     ) -> None:
         model.set_faults(KvFaults(down=True))
         with pytest.raises(KvUnavailable):
             await append(FakeKv(model))
 
-    async def test_an_unconditional_write_is_refused(self, model: KvModel) -> None:
-        """Sent again, an unconditional write would undo what others wrote in between."""
+    async def test_an_unconditional_write_is_rejected(self, model: KvModel) -> None:
+        """A retried unconditional write would overwrite what others wrote in between."""
         with pytest.raises(KvRequestInvalid):
             await append(FakeKv(model), expected_revision=ANY_REVISION)
 
--- a/packages/stores/tests/test_setup.py
+++ b/packages/stores/tests/test_setup.py
@@ -1,4 +1,4 @@
-"""Tests of the settings and of what is made from them."""
+"""Tests of the settings and of the clients created from them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TestKvSettings:
-    def test_budgets_come_as_tables(self) -> None:
+    def test_budgets_are_read_from_tables(self) -> None:
         budget = {"purpose": "admin", "calls_per_s": 1, "burst": 2}
         value, problems = check_table({"address": "127.0.0.1:9", "budgets": [budget]}, KvSettings)
         assert value == KvSettings(ADDRESS, budgets=(PurposeBudget("admin", 1.0, 2),))
--- a/packages/stores/tests/test_watch.py
+++ b/packages/stores/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of watches: gaps, cuts and connections that went silent."""
+"""Tests of watches: gaps, interruptions and half-open connections."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ScriptedResponse:
-    """An answer that sends its lines and then stays silent."""
+    """A response that sends its lines and then stays idle."""
 
     def __init__(self, results: Sequence[Mapping[str, Any]]) -> None:
         self.results = results
@@ -35,26 +35,26 @@
         await trio.sleep_forever()
 
     async def aclose(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
 
 class ScriptedService:
-    """Answers watch calls with scripted responses and notes their start revisions."""
+    """Returns scripted responses to watch calls and records their start revisions."""
 
-    def __init__(self, *answers: Sequence[Mapping[str, Any]]) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: Sequence[Mapping[str, Any]]) -> None:
+        self.responses = list(responses)
         self.starts: list[int] = []
-        self.cuts = 0
+        self.interruptions = 0
 
     async def open_stream(self, body: Mapping[str, Any]) -> httpx.Response:
         self.starts.append(int(body["create_request"].get("start_revision", 0)))
-        return cast("httpx.Response", ScriptedResponse(self.answers.pop(0)))
+        return cast("httpx.Response", ScriptedResponse(self.responses.pop(0)))
 
-    def on_cut(self) -> None:
-        self.cuts += 1
+    def on_interrupted(self) -> None:
+        self.interruptions += 1
 
     def watch(self) -> EtcdWatch:
-        return EtcdWatch("a/", 0, self.open_stream, RENEWAL_S, self.on_cut)
+        return EtcdWatch("a/", 0, self.open_stream, RENEWAL_S, self.on_interrupted)
 
 
 def change(revision: int) -> KvEvent:
@@ -66,43 +66,47 @@
 
 
 class TestEtcdWatch:
-    async def test_a_silent_connection_is_replaced_without_a_gap(
+    async def test_an_idle_connection_is_replaced_without_a_gap(
         self, autojump_clock: object
     ) -> None:
-        """A firewall forgets the connection of a watch: nothing is closed and nothing comes. The
-        operators roll a bundle and this node would never hear of it."""
+        """Guards against a node that never receives a new bundle.
+
+        A firewall drops the state of the watch's connection, which stays open but receives
+        nothing."""
         service = ScriptedService([CREATED, events(change(8))], [CREATED, events(change(9))])
         watch = service.watch()
         await watch.open()
         with trio.fail_after(2 * RENEWAL_S):
             assert [await anext(watch), await anext(watch)] == [change(8), change(9)]
         assert service.starts == [0, 9]
-        assert service.cuts == 0
+        assert service.interruptions == 0
 
     async def test_renewal_before_any_change_starts_after_the_first_revision(
         self, autojump_clock: object
     ) -> None:
-        """A watch from now on is renewed before its first change. Opened from now on again it
-        would miss what changed while the old connection was dead."""
+        """A watch without a start revision is renewed before its first change. If it were reopened
+        at the current revision, it would miss changes made while the connection was dead."""
         service = ScriptedService([CREATED], [CREATED, events(change(9))])
         watch = service.watch()
         await watch.open()
         await anext(watch)
         assert service.starts == [0, 8]
 
-    async def test_a_cancelled_watch_tells_its_reader(self, autojump_clock: object) -> None:
+    async def test_a_cancelled_watch_raises(self, autojump_clock: object) -> None:
         service = ScriptedService([CREATED, {"canceled": True, "compact_revision": "9"}])
         watch = service.watch()
         await watch.open()
         with pytest.raises(KvUnavailable, match="history starts at 9"):
             await anext(watch)
-        assert service.cuts == 1
+        assert service.interruptions == 1
 
 
 class TestGap:
     async def test_a_gap_is_reported_and_read_again(self, autojump_clock: object) -> None:
-        """A node's watch is cut in an outage, and the service compacts its history before the
-        node is back. If the gap went unnoticed the node would stay on an old bundle."""
+        """Guards against a node that stays on an old bundle.
+
+        A watch is interrupted by an outage, and the service compacts its history before the watch
+        is reopened. The missing changes must be reported as an error."""
         model = KvModel(Random(1))
         kv = FakeKv(model)
         revision = model.transact([KvWrite("a/x", b"1", 0)])
