--- a/packages/wire/src/sassafrastally/wire/__init__.py
+++ b/packages/wire/src/sassafrastally/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The peer protocol: messages, links between processes and the service that holds them."""
+"""Peer protocol: messages, links between processes and the service that manages them."""
 
 from __future__ import annotations
 
--- a/packages/wire/src/sassafrastally/wire/codec.py
+++ b/packages/wire/src/sassafrastally/wire/codec.py
@@ -1,4 +1,4 @@
-"""One codec for all messages of the peer protocol, over Cap'n Proto."""
+"""Cap'n Proto codec for all messages of the peer protocol."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 @error(2001)
 class BadFrame(CodedError):
-    """A frame can't be decoded or breaks a bound."""
+    """A frame can't be encoded or decoded, or exceeds a limit."""
 
 
-class _FieldPlan(NamedTuple):
+class _FieldLayout(NamedTuple):
     field: Any
-    """The schema's field; looking it up by name each time costs as much as the coding itself."""
+    """Schema field, cached because a lookup by name costs as much as the coding itself."""
     is_list: bool
 
 
-class _Plan(NamedTuple):
-    """How one kind of message is coded."""
+class _MessageLayout(NamedTuple):
+    """Cached schema fields of one message type."""
 
     kind: type[Any]
     member: Any
-    """Its member of the frame's union."""
-    fields: tuple[_FieldPlan, ...]
+    """Member of the frame's union."""
+    fields: tuple[_FieldLayout, ...]
 
 
 def _load_schema() -> Any:
@@ -49,65 +49,65 @@
     return kind.__name__[0].lower() + kind.__name__[1:]
 
 
-def _make_plan(kind: type[Any]) -> _Plan:
-    own = getattr(_SCHEMA, kind.__name__).schema.fields
+def _make_layout(kind: type[Any]) -> _MessageLayout:
+    schema_fields = getattr(_SCHEMA, kind.__name__).schema.fields
     fields = tuple(
-        _FieldPlan(own[_camel(name)], is_list=kind._field_defaults[name] == ())
+        _FieldLayout(schema_fields[_camel(name)], is_list=kind._field_defaults[name] == ())
         for name in kind._fields
     )
-    return _Plan(kind, _SCHEMA.Frame.Body.schema.fields[_union_name(kind)], fields)
+    return _MessageLayout(kind, _SCHEMA.Frame.Body.schema.fields[_union_name(kind)], fields)
 
 
 _SCHEMA = _load_schema()
 _FRAME_FIELDS = _SCHEMA.Frame.schema.fields
 _BODY, _STREAM, _STAMP = (_FRAME_FIELDS[name] for name in ("body", "stream", "stamp"))
-_KINDS: tuple[type[Any], ...] = Message.__args__
-_BY_KIND = {kind: _make_plan(kind) for kind in _KINDS}
-_BY_UNION_NAME = {_union_name(kind): plan for kind, plan in _BY_KIND.items()}
+_MESSAGE_TYPES: tuple[type[Any], ...] = Message.__args__
+_LAYOUT_BY_TYPE = {kind: _make_layout(kind) for kind in _MESSAGE_TYPES}
+_LAYOUT_BY_UNION_NAME = {_union_name(kind): layout for kind, layout in _LAYOUT_BY_TYPE.items()}
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame, without its length.
+    """Encode a frame, without its length prefix.
 
     Raises
     ------
     BadFrame
-        When it would be longer than `MAX_FRAME_BYTES` or a value doesn't fit its field.
+        If it is longer than `MAX_FRAME_BYTES` or a value doesn't fit its field.
     """
     message: Any = frame.message
-    plan = _BY_KIND[type(message)]
+    layout = _LAYOUT_BY_TYPE[type(message)]
     builder = _SCHEMA.Frame.new_message()
     builder._set_by_field(_STREAM, frame.stream)
     builder._set_by_field(_STAMP, frame.stamp)
-    put = builder._get_by_field(_BODY)._init_by_field(plan.member)._set_by_field
+    put = builder._get_by_field(_BODY)._init_by_field(layout.member)._set_by_field
     try:
-        for (field, is_list), value in zip(plan.fields, message, strict=True):
+        for (field, is_list), value in zip(layout.fields, message, strict=True):
             put(field, list(value) if is_list else value)
     except (capnp.KjException, OverflowError, TypeError) as cause:
-        raise BadFrame(f"{plan.kind.__name__} doesn't fit the schema: {cause}") from cause
+        raise BadFrame(f"{layout.kind.__name__} doesn't fit the schema: {cause}") from cause
     data: bytes = builder.to_bytes()
     if len(data) > MAX_FRAME_BYTES:
-        raise BadFrame(f"{plan.kind.__name__} of {len(data)} bytes is over {MAX_FRAME_BYTES}")
+        raise BadFrame(f"{layout.kind.__name__} of {len(data)} bytes is over {MAX_FRAME_BYTES}")
     return data
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Return the frame that the bytes hold.
+    """Decode a frame.
 
     Raises
     ------
     BadFrame
-        When they aren't a frame of this schema.
+        If the bytes aren't a valid frame of this schema.
     """
     try:
         with _SCHEMA.Frame.from_bytes(data, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS) as raw:
             get = raw._get_by_field
             body = get(_BODY)
-            plan = _BY_UNION_NAME[body._which_str()]
-            read = body._get_by_field(plan.member)._get_by_field
+            layout = _LAYOUT_BY_UNION_NAME[body._which_str()]
+            read = body._get_by_field(layout.member)._get_by_field
             values = [
-                tuple(read(field)) if is_list else read(field) for field, is_list in plan.fields
+                tuple(read(field)) if is_list else read(field) for field, is_list in layout.fields
             ]
-            return Frame(get(_STREAM), get(_STAMP), plan.kind(*values))
+            return Frame(get(_STREAM), get(_STAMP), layout.kind(*values))
     except (capnp.KjException, KeyError, UnicodeDecodeError, ValueError) as cause:
         raise BadFrame(f"not a frame: {type(cause).__name__}") from cause
--- a/packages/wire/src/sassafrastally/wire/control_messages.py
+++ b/packages/wire/src/sassafrastally/wire/control_messages.py
@@ -1,4 +1,4 @@
-"""Messages of control: load, bundles, operators' calls, claims, limits and placement."""
+"""Control messages: load, bundles, admin calls, claims, limits and placement."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LoadReport(NamedTuple):
-    """What a sidecar tells its peers about itself; lags by nature."""
+    """Periodic load report of a sidecar to its peers; always somewhat out of date."""
 
     models: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
@@ -15,46 +15,46 @@
     free_blocks: int = 0
     total_blocks: int = 0
     first_token_s: tuple[float, ...] = ()
-    """Predicted first token for a new request of each lane, in seconds."""
+    """Predicted time to first token for a new request in each lane, in seconds."""
     prefill_tokens_per_s: float = 0.0
     leaving: bool = False
     generation: int = 0
-    """Generation of the bundle in force at the sender."""
+    """Generation of the sender's active bundle."""
     digest: str = ""
     block_tokens: int = 0
 
 
 class HeadNotice(NamedTuple):
-    """The signed head of the bundle in force at the sender."""
+    """Signed head of the sender's active bundle."""
 
     generation: int = 0
-    """Generation of the bundle in force at the sender."""
+    """Generation of the sender's active bundle."""
     digest: str = ""
     head: bytes = b""
-    """Canonical bytes of the head with its signature."""
+    """Canonical encoding of the head with its signature."""
 
 
 class PartsRequest(NamedTuple):
-    """Asks a peer for parts of a bundle."""
+    """Requests parts of a bundle from a peer."""
 
     digests: tuple[str, ...] = ()
 
 
 class PartsReply(NamedTuple):
-    """Parts in the order asked for; an empty one is not held."""
+    """Parts in the requested order; an empty part is not available at the sender."""
 
     parts: tuple[bytes, ...] = ()
 
 
 class AdminCall(NamedTuple):
-    """An operator command for this process."""
+    """Operator command for the receiving process."""
 
     method: str = ""
     body: bytes = b""
 
 
 class AdminReturn(NamedTuple):
-    """Answers `AdminCall`; the body is JSON."""
+    """Response to `AdminCall`; the body is JSON."""
 
     status: int = 0
     """HTTP status."""
@@ -62,85 +62,85 @@
 
 
 class ClaimRequest(NamedTuple):
-    """Asks the home of an idempotency key's shard to claim, replace or look up."""
+    """Asks the owner of an idempotency key's shard to claim, replace or look up the key."""
 
     operation: str = ""
     """One of `sassafrastally.serving.claim_shard.ClaimOperation`."""
     key_hash: bytes = b""
     """Keyed hash of customer and idempotency key, 16 bytes."""
     body_digest: bytes = b""
-    """Digest of the request's body, 16 bytes."""
+    """Digest of the request body, 16 bytes."""
     vm: str = ""
-    """Placement that is to hold the key, in this and the next three fields."""
+    """Placement that claims the key, in this and the next three fields."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     old_vm: str = ""
-    """Placement that is to be replaced, in this and the next three fields."""
+    """Placement to replace, in this and the next three fields."""
     old_incarnation: str = ""
     old_request_id: str = ""
     old_attempt: int = 0
     time_limit_s: float = 0.0
-    """Seconds that the sender waits for the answer."""
+    """Seconds that the sender waits for the response."""
 
 
 class ClaimReply(NamedTuple):
-    """Answers `ClaimRequest`: who holds the key."""
+    """Response to `ClaimRequest` with the holder of the key."""
 
     state: str = ""
     """One of `sassafrastally.serving.claim_shard.ClaimState`."""
     vm: str = ""
     """Placement that holds the key, in this and the next three fields."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     retry_after_s: float = 0.0
 
 
 class SliceRequest(NamedTuple):
-    """Reports an entry's use of customers' limits to their home and asks for more.
+    """Reports an entry's usage of customer limits to the limit owner and requests more.
 
-    The lists run side by side, one place for each customer.
+    The lists are parallel, with one element for each customer.
     """
 
     customers: tuple[str, ...] = ()
     open_requests: tuple[int, ...] = ()
-    """Requests that are open at the sender."""
+    """Open requests at the sender."""
     want_requests: tuple[int, ...] = ()
-    """Most requests that the sender would like to have open."""
+    """Maximum number of open requests that the sender asks for."""
     want_tokens: tuple[int, ...] = ()
-    """Tokens that the sender would like to use beyond what it has."""
+    """Additional tokens that the sender asks for."""
     returned_tokens: tuple[int, ...] = ()
-    """Granted tokens that were not used."""
+    """Granted tokens that the sender returns unused."""
 
 
 class SliceReply(NamedTuple):
-    """Answers `SliceRequest`; the lists run side by side with the request's."""
+    """Response to `SliceRequest`; the lists are parallel to those of the request."""
 
     customers: tuple[str, ...] = ()
     requests: tuple[int, ...] = ()
-    """Requests that the asker may have open until the slice lapses."""
+    """Requests that the receiver may have open until the slice expires."""
     tokens: tuple[int, ...] = ()
-    """Tokens that the asker may use in addition until the slice lapses."""
+    """Additional tokens that the receiver may use until the slice expires."""
     held_requests: tuple[int, ...] = ()
-    """Requests granted to all entries together."""
+    """Total number of requests granted to all entries."""
     retry_after_s: tuple[float, ...] = ()
-    """After how many seconds the tokens asked for would be there; 0 when they were granted."""
+    """Seconds until the requested tokens are available; 0 if they were granted."""
     lapse_s: float = 0.0
-    """For how many seconds the slices hold."""
+    """Seconds until the slices expire."""
 
 
 class PlacementOrder(NamedTuple):
-    """Orders a sidecar to change what its engine serves, or only asks what that is."""
+    """Orders a sidecar to change what its engine serves, or only queries the current state."""
 
     fence: int = 0
-    """Fencing number of the placement holder; a sidecar that has seen a higher one refuses."""
+    """Fencing token of the placement holder; a sidecar that has seen a higher one refuses."""
     action: str = ""
     """One of `sassafrastally.control.placement_orders.PlacementAction`."""
     model: str = ""
@@ -148,19 +148,19 @@
     adapter: str = ""
     role: str = ""
     needed: str = ""
-    """For an unload: engine's name of a model that must be ready, or nothing is unloaded."""
+    """For an unload: engine name of a model that must be ready, otherwise nothing is unloaded."""
 
 
 class PlacementReply(NamedTuple):
-    """Answers `PlacementOrder`."""
+    """Response to `PlacementOrder`."""
 
     state: str = ""
     """One of `sassafrastally.control.placement_orders.PlacementState`."""
     fence: int = 0
-    """Highest fencing number that the sidecar knows."""
+    """Highest fencing token that the sidecar has seen."""
     models: tuple[str, ...] = ()
-    """What the engine serves, as ``name`` or ``name@version``; adapters by their names."""
+    """Models that the engine serves as ``name`` or ``name@version``, and adapters by name."""
     role: str = ""
     is_pinned: bool = False
-    """Whether the sidecar's settings fix what may be served there."""
+    """Whether the sidecar's settings pin the models it may serve."""
     detail: str = ""
--- a/packages/wire/src/sassafrastally/wire/events.py
+++ b/packages/wire/src/sassafrastally/wire/events.py
@@ -1,4 +1,4 @@
-"""Events and the gauge of the links."""
+"""Events and metrics of links."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @event(2001)
 class PeersListening(NamedTuple):
-    """The process accepts peers."""
+    """The process accepts connections from peers."""
 
     address: str
 
 
 @event(2002)
 class LinkUp(NamedTuple):
-    """A link stands: both ends have proved themselves."""
+    """A link is up: both ends are authenticated."""
 
     peer_vm: str
     peer_incarnation: str
@@ -28,7 +28,7 @@
 
 @event(2003)
 class LinkDown(NamedTuple):
-    """A link is gone."""
+    """A link is down."""
 
     peer_vm: str
     peer_incarnation: str
@@ -37,18 +37,18 @@
 
 @event(2004, "warning")
 class HandshakeRefused(NamedTuple):
-    """A connection didn't become a link."""
+    """The handshake of a connection failed."""
 
     direction: str
     """``dialled`` or ``accepted``."""
     peer_vm: str
-    """VM that was dialled; empty for an accepted connection, whose claims are unproved."""
+    """VM that was dialled; empty for an accepted connection, whose peer isn't authenticated."""
     reason: str
 
 
 @event(2005, "warning")
 class StreamFailed(NamedTuple):
-    """A stream was closed with an error's code."""
+    """A stream was closed with an error code."""
 
     peer_vm: str
     code: int
@@ -57,7 +57,7 @@
 
 @event(2006, "warning")
 class NoticeDropped(NamedTuple):
-    """A peer sends notices faster than they are handled; the oldest was dropped."""
+    """A peer sends notices faster than they are handled, and the oldest one was dropped."""
 
     peer_vm: str
     notice: str
@@ -65,7 +65,7 @@
 
 @event(2007, "warning")
 class PeerHandlerFailed(NamedTuple):
-    """A handler of notices or of new links raised an error."""
+    """A handler of notices or new links raised an error."""
 
     peer_vm: str
     code: int
--- a/packages/wire/src/sassafrastally/wire/framing.py
+++ b/packages/wire/src/sassafrastally/wire/framing.py
@@ -1,4 +1,4 @@
-"""Length-framed messages over a byte stream, read through a buffer and sent in batches."""
+"""Length-prefixed frames over a byte stream, with buffered reads and batched writes."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     from sassafrastally.wire.messages import Frame
 
 LENGTH_BYTES = 4
-"""Size of the big-endian length before each frame."""
+"""Size of the big-endian length prefix of each frame."""
 
 READ_BYTES = 256 * 1024
-"""Most bytes that one read from the stream returns."""
+"""Maximum size of one read from the stream."""
 
 BATCH_BYTES = 64 * 1024
-"""Frames that wait together are joined up to about this size for one send."""
+"""Approximate size up to which queued frames are batched into one write."""
 
-QUEUE_BYTES = 256 * 1024
-"""Senders wait while this much is queued on a link."""
+HIGH_WATERMARK_BYTES = 256 * 1024
+"""Senders wait while at least this much is queued on a link."""
 
-ROOM_BYTES = QUEUE_BYTES // 2
-"""Waiting senders are woken once less than this is queued."""
+LOW_WATERMARK_BYTES = HIGH_WATERMARK_BYTES // 2
+"""Waiting senders resume once less than this is queued."""
 
-CONTROL_BYTES = 64 * 1024
-"""What the link itself may queue beyond `QUEUE_BYTES` without waiting."""
+CONTROL_RESERVE_BYTES = 64 * 1024
+"""Queue space above `HIGH_WATERMARK_BYTES` for control frames, which don't wait."""
 
 _SENT_BYTES = counter("sassafrastally.peer.sent_bytes", "By", "Bytes sent to peers.")
 _SENT_FRAMES = counter("sassafrastally.peer.sent_frames", "{frame}", "Frames sent to peers.")
@@ -40,7 +40,7 @@
 
 
 def frame_bytes(frame: Frame) -> bytes:
-    """Return a frame with its length before it."""
+    """Encode a frame with its length prefix."""
     data = encode_frame(frame)
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
@@ -51,9 +51,9 @@
     Parameters
     ----------
     stream
-        Where the bytes come from.
+        Stream to read from.
     max_frame_bytes
-        Longest frame that is accepted; it may be raised once the peer is authenticated.
+        Maximum accepted frame size; may be raised once the peer is authenticated.
     """
 
     def __init__(
@@ -61,23 +61,23 @@
     ) -> None:
         self.max_frame_bytes = max_frame_bytes
         self.frame_size_bytes = 0
-        """Size of the frame that was read last."""
+        """Size of the last frame read."""
         self.last_read_s = trio.current_time()
-        """When bytes last came, on trio's clock."""
+        """Time of the last received bytes, on trio's clock."""
         self._stream = stream
         self._buffer = bytearray()
         self._start = 0
 
     async def read(self) -> Frame:
-        """Return the next frame.
+        """Read the next frame.
 
         Raises
         ------
         BadFrame
-            When the length is over the bound, which is found before the body is read, or the
-            bytes are no frame.
+            If the length exceeds the limit, which is checked before the body is read, or the
+            bytes aren't a valid frame.
         LinkCut
-            When the stream ends or breaks.
+            If the stream ends or breaks.
         """
         await self._fill(LENGTH_BYTES)
         head = self._buffer[self._start : self._start + LENGTH_BYTES]
@@ -106,95 +106,95 @@
 
 
 class FrameWriter:
-    """Queues frames and sends those that are ready together in one piece.
+    """Queues frames and sends the queued ones in batches.
 
     Parameters
     ----------
     stream
-        Where the bytes go.
+        Stream to write to.
     """
 
     def __init__(self, stream: trio.abc.SendStream) -> None:
         self._stream = stream
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
-        self._work = trio.Event()
-        self._room = trio.lowlevel.ParkingLot()
+        self._has_frames = trio.Event()
+        self._writable = trio.lowlevel.ParkingLot()
         self._idle = trio.Event()
         self._idle.set()
         self._is_closed = False
 
-    async def wait_room(self) -> None:
-        """Wait until the queue takes another frame; always a checkpoint."""
-        if self._queued_bytes < QUEUE_BYTES or self._is_closed:
+    async def wait_writable(self) -> None:
+        """Wait until the queue has room for another frame; always a checkpoint."""
+        if self._queued_bytes < HIGH_WATERMARK_BYTES or self._is_closed:
             await trio.lowlevel.checkpoint()
-        while self._queued_bytes >= QUEUE_BYTES and not self._is_closed:
-            await self._room.park()
+        while self._queued_bytes >= HIGH_WATERMARK_BYTES and not self._is_closed:
+            await self._writable.park()
 
     async def wait_idle(self) -> None:
-        """Wait until all that was queued has been handed to the stream."""
+        """Wait until all queued frames have been written to the stream."""
         await self._idle.wait()
 
     def put(self, frame: Frame) -> None:
-        """Queue a frame; wait for room before.
+        """Queue a frame; call `wait_writable` first.
 
         Raises
         ------
         BadFrame
-            When it doesn't fit the schema or its bounds.
+            If it doesn't fit the schema or exceeds a limit.
         """
         data = frame_bytes(frame)
         self._queue.append(data)
         self._count_queued(data)
 
     def put_control(self, frame: Frame) -> None:
-        """Queue a frame of the link itself without waiting for room.
+        """Queue a control frame without waiting for room.
 
-        The link's reader answers through here. It must not wait: if both ends' readers waited for
-        room, neither would read what the other sends, and the link would stand still.
+        The reader task of the link responds with this method and must not wait: if the readers of
+        both ends waited for room, neither would read and the link would deadlock.
 
         Raises
         ------
         LinkCut
-            When the peer has not read for so long that even the spare room is used up.
+            If the peer has stopped reading and the control reserve is exhausted.
         """
-        self._check_spare()
+        self._check_control_reserve()
         self.put(frame)
 
     def put_first(self, frame: Frame) -> None:
-        """Queue a sign of life before all else, without waiting for room.
+        """Queue a ping or pong at the front of the queue, without waiting for room.
 
-        Behind a full queue on a slow connection it would come after the peer's time limit, and a
-        link that does nothing wrong but carry much would be cut.
+        At the end of a full queue on a slow connection it would arrive after the peer's time limit,
+        and a healthy but busy link would be cut.
 
         Raises
         ------
         LinkCut
             As `put_control` does.
         """
-        self._check_spare()
+        self._check_control_reserve()
         data = frame_bytes(frame)
         self._queue.appendleft(data)
         self._count_queued(data)
 
     def close(self) -> None:
-        """Drop what is queued and wake who waits."""
+        """Drop the queue and wake all waiting tasks."""
         self._is_closed = True
         self._queue.clear()
         self._queued_bytes = 0
-        self._room.unpark_all()
+        self._writable.unpark_all()
         self._idle.set()
 
     async def run(self) -> None:
-        """Send what is queued, for ever.
+        """Send queued frames until the stream breaks.
 
         Raises
         ------
         LinkCut
-            When the stream breaks.
+            If the stream breaks.
         """
         while True:
-            await self._work.wait()
+            await self._has_frames.wait()
             batch = self._take_batch()
             try:
                 await self._stream.send_all(b"".join(batch))
@@ -202,17 +202,17 @@
                 raise LinkCut("the connection broke") from cause
             _SENT_FRAMES.add(len(batch))
             if not self._queue:
-                self._work = trio.Event()
+                self._has_frames = trio.Event()
                 self._idle.set()
 
     def _count_queued(self, data: bytes) -> None:
         self._queued_bytes += len(data)
-        if not self._work.is_set():
-            self._work.set()
+        if not self._has_frames.is_set():
+            self._has_frames.set()
             self._idle = trio.Event()
 
-    def _check_spare(self) -> None:
-        if self._queued_bytes >= QUEUE_BYTES + CONTROL_BYTES:
+    def _check_control_reserve(self) -> None:
+        if self._queued_bytes >= HIGH_WATERMARK_BYTES + CONTROL_RESERVE_BYTES:
             raise LinkCut("the peer doesn't read")
 
     def _take_batch(self) -> list[bytes]:
@@ -223,13 +223,13 @@
             batch.append(data)
             size += len(data)
         self._queued_bytes -= size
-        # Waking all senders for each frame that leaves would cost more than the sending.
-        if self._queued_bytes < ROOM_BYTES:
-            self._room.unpark_all()
+        # Waking all senders for each frame sent would cost more than sending it.
+        if self._queued_bytes < LOW_WATERMARK_BYTES:
+            self._writable.unpark_all()
         _SENT_BYTES.add(size)
         return batch
 
 
 def count_received(frames: int) -> None:
-    """Add to the count of frames that came from peers."""
+    """Count frames received from peers."""
     _RECEIVED_FRAMES.add(frames)
--- a/packages/wire/src/sassafrastally/wire/handshake.py
+++ b/packages/wire/src/sassafrastally/wire/handshake.py
@@ -1,8 +1,9 @@
-"""Mutual proof of the fleet's link secret before anything else passes a connection.
+"""Mutual authentication with the fleet's link secret at the start of a connection.
 
-The dialler sends `Hello` with a nonce, the acceptor answers `HelloAck` with its own nonce and a
-proof, and the dialler ends with `HelloConfirm`. A proof is an HMAC-SHA256 under the link secret
-over both nonces, both identities and the direction, so that it stands for this one connection.
+The dialler sends `Hello` with a nonce, the acceptor replies with `HelloAck` containing its own
+nonce and a proof, and the dialler finishes with `HelloConfirm`. A proof is an HMAC-SHA256 keyed
+with the link secret over both nonces, both identities and the direction, so that it is valid for
+one connection only.
 """
 
 from __future__ import annotations
@@ -35,83 +36,83 @@
 
 NONCE_BYTES = 32
 MAX_HANDSHAKE_FRAME_BYTES = 4096
-"""Longest frame taken from a peer that has not yet proved itself."""
+"""Maximum frame size accepted from an unauthenticated peer."""
 
 MAX_REASON_CHARS = 200
-"""How much of an unproved peer's reason is repeated."""
+"""Length to which the reason sent by an unauthenticated peer is truncated."""
 
 _PROOF_CONTEXT = b"sassafrastally peer link 1"
-_BY_DIALLER = b"dialler"
-_BY_ACCEPTOR = b"acceptor"
+_DIALLER_LABEL = b"dialler"
+_ACCEPTOR_LABEL = b"acceptor"
 
 M = TypeVar("M")
 
 
 class Handshake:
-    """Proves both ends of one connection to each other.
+    """Handshake that authenticates both ends of one connection.
 
     Parameters
     ----------
     stream
         The new connection.
-    me
-        This process.
+    identity
+        Identity of this process.
     secret
-        The fleet's link secret.
+        Link secret of the fleet.
     random
-        Source of the nonce.
+        Random number generator for the nonce.
     hybrid
-        Source of the frames' stamps.
+        Hybrid logical clock that stamps the frames.
     """
 
     def __init__(
         self,
         stream: trio.abc.Stream,
-        me: PeerIdentity,
+        identity: PeerIdentity,
         secret: Secret,
         random: Random,
         hybrid: HybridClock,
     ) -> None:
         self.reader = FrameReader(stream, MAX_HANDSHAKE_FRAME_BYTES)
-        """Holds what the peer sent after the handshake; the link reads on from it."""
+        """Frame reader that the link keeps using; it may hold data sent after the handshake."""
         self._stream = stream
-        self._me = me
+        self._identity = identity
         self._key = secret.encode()
         self._nonce = random.getrandbits(NONCE_BYTES * 8).to_bytes(NONCE_BYTES, "big")
         self._hybrid = hybrid
 
     async def dial(self, vm: str) -> PeerIdentity:
-        """Prove this end as the dialler and return who answered.
+        """Authenticate as the dialler and return the identity of the acceptor.
 
         Parameters
         ----------
         vm
-            Name of the VM that is meant to answer.
+            Name of the VM expected to answer.
 
         Raises
         ------
         LinkRefused
-            When the peer has another schema, no valid proof or another name.
+            If the peer has another schema version, no valid proof or another name.
         """
-        await self._send(Hello(SCHEMA_VERSION, *self._me, self._nonce))
+        await self._send(Hello(SCHEMA_VERSION, *self._identity, self._nonce))
         ack = await self._receive(HelloAck)
         peer = self._check_peer(ack)
-        # A VM's address may have gone to another VM since the list was read. Its answer would be
-        # taken for the first one's, so the link stands only with the VM that was meant.
+        # The address may have been reassigned to another VM since the VM list was read, so the link
+        # is only accepted if the expected VM answered.
         if peer.vm != vm:
             raise LinkRefused(f"{peer.vm} answered in place of {vm}")
-        self._check_proof(ack.proof, self._proof(_BY_ACCEPTOR, ack.nonce, self._me, peer))
-        await self._send(HelloConfirm(self._proof(_BY_DIALLER, ack.nonce, self._me, peer)))
+        self._check_proof(ack.proof, self._proof(_ACCEPTOR_LABEL, ack.nonce, self._identity, peer))
+        await self._send(HelloConfirm(self._proof(_DIALLER_LABEL, ack.nonce, self._identity, peer)))
         self.reader.max_frame_bytes = MAX_FRAME_BYTES
         return peer
 
     async def accept(self) -> PeerIdentity:
-        """Prove this end as the acceptor and return who dialled.
+        """Authenticate as the acceptor and return the identity of the dialler.
 
         Raises
         ------
         LinkRefused
-            When the peer has another schema or no valid proof; it is told the reason.
+            If the peer has another schema version or no valid proof; the reason is sent to it.
         """
         try:
             return await self._accept()
@@ -122,10 +123,12 @@
     async def _accept(self) -> PeerIdentity:
         hello = await self._receive(Hello)
         peer = self._check_peer(hello)
-        proof = self._proof(_BY_ACCEPTOR, hello.nonce, peer, self._me)
-        await self._send(HelloAck(SCHEMA_VERSION, *self._me, self._nonce, proof))
+        proof = self._proof(_ACCEPTOR_LABEL, hello.nonce, peer, self._identity)
+        await self._send(HelloAck(SCHEMA_VERSION, *self._identity, self._nonce, proof))
         confirm = await self._receive(HelloConfirm)
-        self._check_proof(confirm.proof, self._proof(_BY_DIALLER, hello.nonce, peer, self._me))
+        self._check_proof(
+            confirm.proof, self._proof(_DIALLER_LABEL, hello.nonce, peer, self._identity)
+        )
         self.reader.max_frame_bytes = MAX_FRAME_BYTES
         return peer
 
@@ -134,28 +137,29 @@
             raise LinkRefused(f"schema version {hello.schema_version}, not {SCHEMA_VERSION}")
         if len(hello.nonce) != NONCE_BYTES or hello.nonce == self._nonce:
             raise LinkRefused("the nonce has a wrong length or is this end's own")
-        # Without the secret one could open a second connection to the dialler, send it its own
-        # Hello there and hand the answer back on the first: the proof would be right. Such an
-        # answer names the dialler itself, which no other process does.
-        if hello.incarnation == self._me.incarnation:
+        # Prevents a reflection attack: an attacker without the secret could open a second
+        # connection to the dialler, send the dialler's own Hello on it and relay the response,
+        # which has a valid proof, to the first connection. Such a response contains the dialler's
+        # own incarnation, which no other process has.
+        if hello.incarnation == self._identity.incarnation:
             raise LinkRefused("the peer has this process's own identity")
         return PeerIdentity(hello.vm, hello.role, hello.data_centre, Incarnation(hello.incarnation))
 
     def _proof(
         self, direction: bytes, peer_nonce: bytes, dialler: PeerIdentity, acceptor: PeerIdentity
     ) -> bytes:
-        is_dialler = dialler == self._me
+        is_dialler = dialler == self._identity
         nonces = (self._nonce, peer_nonce) if is_dialler else (peer_nonce, self._nonce)
         names = [part.encode() for part in (*dialler, *acceptor)]
         mac = hmac.new(self._key, digestmod="sha256")
         for part in (_PROOF_CONTEXT, direction, *nonces, *names):
-            # The length before each part keeps two lists of parts from running together alike.
+            # The length prefix of each part prevents ambiguity between different lists of parts.
             mac.update(len(part).to_bytes(4, "big"))
             mac.update(part)
         return mac.digest()
 
-    def _check_proof(self, given: bytes, wanted: bytes) -> None:
-        if not hmac.compare_digest(given, wanted):
+    def _check_proof(self, actual: bytes, expected: bytes) -> None:
+        if not hmac.compare_digest(actual, expected):
             raise LinkRefused("the proof of the link secret is wrong")
 
     async def _send(self, message: Message) -> None:
--- a/packages/wire/src/sassafrastally/wire/link.py
+++ b/packages/wire/src/sassafrastally/wire/link.py
@@ -1,4 +1,4 @@
-"""Links between processes: one multiplexed connection for each pair."""
+"""Interfaces of links, the multiplexed connections between two processes."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 @error(2002)
 class LinkCut(CodedError):
-    """The link is gone: whether the peer got what was sent last is not known."""
+    """The link was cut: it is unknown whether the peer received the last messages."""
 
 
 @error(2003)
 class LinkRefused(CodedError):
-    """No link came about: the peer doesn't answer, has another schema or no proof."""
+    """No link was established: the peer didn't respond, or has another schema or no valid proof."""
 
 
 @error(2004)
 class StreamEnded(CodedError):
-    """The peer has closed the stream; nothing more comes on it."""
+    """The peer has closed the stream and sends no more messages on it."""
 
     def __init__(self, message: str = "", peer_code: int = 0) -> None:
         super().__init__(message)
         self.peer_code = peer_code
-        """Code of the error for which the peer closed it; 0 when it was done."""
+        """Error code sent by the peer; 0 if the stream was closed normally."""
 
 
 class PeerIdentity(NamedTuple):
-    """Who is at the other end of a link, proved by the handshake."""
+    """Identity of a peer, authenticated by the handshake."""
 
     vm: str
     role: str
@@ -44,15 +44,15 @@
 
 
 class Stream(Protocol):
-    """One conversation on a link. Leaving its context closes it."""
+    """Bidirectional message stream on a link; leaving its context closes it."""
 
     @property
     def peer(self) -> PeerIdentity:
-        """The other end."""
+        """Identity of the peer."""
         ...
 
     async def send(self, message: Message) -> None:
-        """Send a message; a chunk waits for the peer's credit. Raises `LinkCut`, `StreamEnded`."""
+        """Send a message; a chunk waits for credit. Raises `LinkCut`, `StreamEnded`."""
         ...
 
     async def receive(self) -> Message:
@@ -60,9 +60,9 @@
         ...
 
     async def receive_ready(self) -> list[Message]:
-        """Return the next message and all that are there behind it; raises as `receive` does.
+        """Return the next message and all others already received; raises as `receive` does.
 
-        A reader that is behind takes them in one turn of the scheduler.
+        A slow reader gets the whole backlog in one scheduler step.
         """
         ...
 
@@ -81,12 +81,12 @@
 
     @property
     def peer(self) -> PeerIdentity:
-        """The other end."""
+        """Identity of the peer."""
         ...
 
     @property
     def is_up(self) -> bool:
-        """Whether the link still stands."""
+        """Whether the link is up."""
         ...
 
     def open_stream(self) -> Stream:
@@ -94,16 +94,16 @@
         ...
 
     async def call(self, message: Message) -> Message:
-        """Send a message on a stream of its own and return the one answer."""
+        """Send a message on a new stream and return the single response."""
         ...
 
     async def notify(self, message: Message) -> None:
-        """Send a notice that has no answer."""
+        """Send a one-way notice."""
         ...
 
 
 class Peers(Protocol):
-    """The links of a process; the service named ``peers`` offers this.
+    """The links of a process; interface of the service named ``peers``.
 
     `sassafrastally.wire.peers.PeerService` implements it.
     """
@@ -111,21 +111,21 @@
     def on_stream(
         self, kind: type[Message], handler: Callable[[Stream, Message], Awaitable[None]]
     ) -> None:
-        """Register who serves streams that begin with a message of a type; one task a stream."""
+        """Register the handler of streams whose first message has a type; one task per stream."""
         ...
 
     def on_notice(
         self, kind: type[Message], handler: Callable[[PeerIdentity, Message], Awaitable[None]]
     ) -> None:
-        """Register who gets notices of a type."""
+        """Register the handler of notices of a type."""
         ...
 
     def on_link(self, handler: Callable[[Link], Awaitable[None]]) -> None:
-        """Register who is told of each new link, dialled or accepted."""
+        """Register a handler for each new link, dialled or accepted."""
         ...
 
     async def link_to(self, vm: str, address: Address) -> Link:
-        """Return the link to a VM, dialling when there is none. Raises `LinkRefused`."""
+        """Return the link to a VM, dialling if there is none. Raises `LinkRefused`."""
         ...
 
     def links(self) -> list[Link]:
--- a/packages/wire/src/sassafrastally/wire/link_messages.py
+++ b/packages/wire/src/sassafrastally/wire/link_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a link is made, kept alive and paced."""
+"""Messages for link setup, keep-alive and flow control."""
 
 from __future__ import annotations
 
@@ -6,57 +6,57 @@
 
 
 class Hello(NamedTuple):
-    """Opens a link: who dials."""
+    """Opens a link with the identity of the dialler."""
 
     schema_version: int = 0
     vm: str = ""
     role: str = ""
     data_centre: str = ""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     nonce: bytes = b""
 
 
 class HelloAck(NamedTuple):
-    """Answers `Hello`: who was dialled, and proof that it knows the link secret."""
+    """Response to `Hello` with the identity of the acceptor and its proof of the link secret."""
 
     schema_version: int = 0
     vm: str = ""
     role: str = ""
     data_centre: str = ""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     nonce: bytes = b""
     proof: bytes = b""
 
 
 class HelloConfirm(NamedTuple):
-    """Ends the handshake with the dialler's proof."""
+    """Completes the handshake with the proof of the dialler."""
 
     proof: bytes = b""
 
 
 class Credit(NamedTuple):
-    """Allows the peer to send that many further bytes of chunk data on the stream."""
+    """Grants the peer credit to send more chunk data on the stream."""
 
     size_bytes: int = 0
 
 
 class StreamClosed(NamedTuple):
-    """The sender has closed the stream; a code other than 0 says why."""
+    """Closes the stream; a code other than 0 is an error."""
 
     code: int = 0
-    """Code of the refusal or failure; empty when there is none."""
+    """Code of the refusal or failure; 0 if there is none."""
     reason: str = ""
 
 
 class Ping(NamedTuple):
-    """Asks for a sign of life."""
+    """Liveness probe."""
 
     nonce: int = 0
 
 
 class Pong(NamedTuple):
-    """Answers `Ping`."""
+    """Response to `Ping`."""
 
     nonce: int = 0
--- a/packages/wire/src/sassafrastally/wire/messages.py
+++ b/packages/wire/src/sassafrastally/wire/messages.py
@@ -1,7 +1,7 @@
 """Typed messages of the peer protocol.
 
-Each message is a `NamedTuple` whose fields mirror a struct of ``peer.capnp`` by name, in snake
-case. `sassafrastally.wire.codec` turns them into bytes and back.
+Each message is a `NamedTuple` whose fields match a struct of ``peer.capnp`` by name, in snake
+case. `sassafrastally.wire.codec` encodes and decodes them.
 """
 
 from __future__ import annotations
@@ -82,13 +82,13 @@
 ]
 
 SCHEMA_VERSION = 1
-"""Version that both ends of a link must share."""
+"""Schema version; both ends of a link must have the same one."""
 
 MAX_FRAME_BYTES = 256 * 1024
-"""Longest frame that is sent or accepted."""
+"""Maximum size of a frame that is sent or accepted."""
 
 MAX_CHUNK_BYTES = 64 * 1024
-"""Most data in one chunk."""
+"""Maximum size of the data in one chunk."""
 
 Message: TypeAlias = (
     Hello
@@ -125,10 +125,10 @@
 
 
 class Frame(NamedTuple):
-    """One message on its stream."""
+    """A message on a stream."""
 
     stream: int
-    """Stream on the link; 0 carries the link's own messages and notices."""
+    """Stream id on the link; stream 0 carries control messages and notices."""
     stamp: int
-    """Hybrid logical stamp of the sender."""
+    """Hybrid logical clock timestamp of the sender."""
     message: Message
--- a/packages/wire/src/sassafrastally/wire/mux.py
+++ b/packages/wire/src/sassafrastally/wire/mux.py
@@ -1,7 +1,7 @@
-"""A link: many streams on one authenticated connection.
+"""Link that multiplexes many streams over one authenticated connection.
 
-One task reads, one writes, one watches for signs of life and one hands out notices. The reader
-waits for nothing but bytes: what a stream can't take is the fault of a peer that broke its bound.
+Separate tasks read, write, monitor liveness and dispatch notices. The reader only waits for bytes:
+a stream can only overflow if the peer violates its flow-control limits.
 """
 
 from __future__ import annotations
@@ -36,41 +36,42 @@
     from sassafrastally.wire.messages import Message
     from sassafrastally.wire.settings import PeerSettings
 
-LINK_STREAM = 0
-"""Carries the link's own messages and the notices."""
+CONTROL_STREAM_ID = 0
+"""Stream of the link's control messages and notices."""
 
-FIRST_DIALLED_STREAM = 1
-FIRST_ACCEPTED_STREAM = 2
-STREAM_STEP = 2
+FIRST_DIALLED_STREAM_ID = 1
+FIRST_ACCEPTED_STREAM_ID = 2
+STREAM_ID_STEP = 2
 
-GOODBYE_TIME_LIMIT_S = 1.0
-"""How long a peer may take to close its end after the goodbye."""
+CLOSE_TIME_LIMIT_S = 1.0
+"""Time allowed for the peer to close its end after the closing message."""
 
-MAX_WAITING_NOTICES = 256
-"""Notices of a peer that wait for their handler; the oldest leave first."""
+MAX_QUEUED_NOTICES = 256
+"""Maximum number of notices queued for their handler; the oldest are dropped first."""
 
 
 class MuxLink:
-    """A connection to a peer that both ends have proved; implements `link.Link`.
+    """Authenticated connection to a peer; implements `link.Link`.
 
     Parameters
     ----------
     stream
-        The connection.
+        Connection to the peer.
     reader
-        Its reader as the handshake left it.
+        Frame reader of the connection after the handshake.
     peer
-        Who is at the other end.
-    first_stream
-        `FIRST_DIALLED_STREAM` or `FIRST_ACCEPTED_STREAM`.
+        Identity of the peer.
+    first_stream_id
+        `FIRST_DIALLED_STREAM_ID` or `FIRST_ACCEPTED_STREAM_ID`.
     settings
-        Bounds and time limits.
+        Limits and timeouts.
     events
-        The process's events.
+        Event log of the process.
     on_stream
-        Takes each stream that the peer opens, with its first message's type; it must not wait.
+        Called with each stream that the peer opens and the type of its first message; must not
+        block.
     on_notice
-        Handles notices, one at a time.
+        Handler of notices, called for one at a time.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         stream: trio.abc.Stream,
         reader: FrameReader,
         peer: PeerIdentity,
-        first_stream: int,
+        first_stream_id: int,
         settings: PeerSettings,
         events: EventLog,
         on_stream: Callable[[MuxStream, type[Message]], None],
@@ -88,133 +89,133 @@
         self.writer = FrameWriter(stream)
         self.window_bytes = settings.window_bytes
         self.cut_reason = ""
-        """Why the link was cut; empty while it stands."""
+        """Why the link was cut; empty while it is up."""
         self._stream = stream
         self._reader = reader
         self._settings = settings
         self._events = events
         self._on_stream = on_stream
         self._on_notice = on_notice
-        self._next_stream = first_stream
-        self._peer_parity = (first_stream + 1) % STREAM_STEP
-        self._last_peer_stream = 0
+        self._next_stream_id = first_stream_id
+        self._peer_parity = (first_stream_id + 1) % STREAM_ID_STEP
+        self._last_peer_stream_id = 0
         self._peer_window_bytes = 0
         self._streams: dict[int, MuxStream] = {}
-        self._fresh: set[MuxStream] = set()
+        self._unstarted_streams: set[MuxStream] = set()
         self._notices: deque[Message] = deque()
-        self._noticed = trio.Event()
+        self._has_notices = trio.Event()
         self._ping_nonce = 0
         self._scope = trio.CancelScope()
-        self._quiet = trio.lowlevel.ParkingLot()
+        self._drained = trio.lowlevel.ParkingLot()
         self._down = trio.Event()
 
     @property
     def is_up(self) -> bool:
-        """Whether the link still stands."""
+        """Whether the link is up."""
         return not self.cut_reason
 
     @property
     def stream_count(self) -> int:
-        """How many streams are open."""
-        return len(self._streams) + len(self._fresh)
+        """Number of open streams."""
+        return len(self._streams) + len(self._unstarted_streams)
 
     def open_stream(self) -> MuxStream:
         """Open a stream; used as ``async with link.open_stream() as stream``."""
         stream = MuxStream(self, 0, self._peer_window_bytes)
         if self.is_up:
-            self._fresh.add(stream)
+            self._unstarted_streams.add(stream)
         else:
             stream.end(LinkCut(self.cut_reason))
         return stream
 
     async def call(self, message: Message) -> Message:
-        """Send a message on a stream of its own and return the one answer.
+        """Send a message on a new stream and return the single response.
 
         Raises
         ------
         LinkCut
-            When the link is gone.
+            If the link was cut.
         StreamEnded
-            When the peer closes the stream without an answer.
+            If the peer closes the stream without a response.
         """
         async with self.open_stream() as stream:
             await stream.send(message)
             return await stream.receive()
 
     async def notify(self, message: Message) -> None:
-        """Send a notice that has no answer.
+        """Send a one-way notice.
 
         Raises
         ------
         LinkCut
-            When the link is gone.
+            If the link was cut.
         """
-        await self.writer.wait_room()
+        await self.writer.wait_writable()
         if not self.is_up:
             raise LinkCut(self.cut_reason)
-        self.put(LINK_STREAM, message)
+        self.put(CONTROL_STREAM_ID, message)
 
     def cut(self, reason: str) -> None:
-        """Cut the link: every stream gets `LinkCut` at once."""
+        """Cut the link; all streams immediately raise `LinkCut`."""
         if not self.is_up:
             return
         self.cut_reason = reason
         self._scope.cancel()
         self.writer.close()
-        for stream in (*self._streams.values(), *self._fresh):
+        for stream in (*self._streams.values(), *self._unstarted_streams):
             stream.end(LinkCut(reason))
         self._streams.clear()
-        self._fresh.clear()
-        self._quiet.unpark_all()
+        self._unstarted_streams.clear()
+        self._drained.unpark_all()
         self._down.set()
 
     async def close(self, time_limit_s: float) -> None:
-        """Let the streams in progress end, say goodbye and cut the link.
+        """Wait for open streams to end, then close the link gracefully.
 
         Parameters
         ----------
         time_limit_s
-            How long the streams may take.
+            Time allowed for the streams to end.
 
         Notes
         -----
-        A socket that is closed while bytes of the peer are unread resets the connection, and what
-        was sent last is lost on the way: the end of an answer would be missing now and then after
-        a graceful stop. So the peer, which reads the goodbye after all else, closes first.
+        Closing a socket with unread data resets the connection and discards data in flight, so the
+        end of a response could be lost in a graceful stop. The peer therefore closes first, after
+        it has read everything up to the closing message.
         """
         with trio.move_on_after(time_limit_s):
-            await self._wait_quiet()
-        with trio.move_on_after(GOODBYE_TIME_LIMIT_S):
-            self.put_control(LINK_STREAM, StreamClosed())
+            await self._wait_drained()
+        with trio.move_on_after(CLOSE_TIME_LIMIT_S):
+            self.put_control(CONTROL_STREAM_ID, StreamClosed())
             await self._down.wait()
         self.cut("this process has closed the link")
 
-    async def _wait_quiet(self) -> None:
+    async def _wait_drained(self) -> None:
         while self.stream_count:
-            await self._quiet.park()
+            await self._drained.park()
         await self.writer.wait_idle()
 
     async def run(self) -> None:
-        """Carry the link until it is cut."""
-        self.put(LINK_STREAM, Credit(self.window_bytes))
+        """Run the link until it is cut."""
+        self.put(CONTROL_STREAM_ID, Credit(self.window_bytes))
         try:
             with self._scope:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._run_until_cut, self._read)
                     nursery.start_soon(self._run_until_cut, self.writer.run)
-                    nursery.start_soon(self._run_until_cut, self._watch)
-                    nursery.start_soon(self._hand_out_notices)
+                    nursery.start_soon(self._run_until_cut, self._monitor_liveness)
+                    nursery.start_soon(self._dispatch_notices)
         finally:
             self.cut("this process has closed the link")
             await trio.aclose_forcefully(self._stream)
 
-    def start_stream(self, stream: MuxStream) -> None:
-        """Give a stream that this end opens its number."""
+    def assign_stream_id(self, stream: MuxStream) -> None:
+        """Assign an id to a stream opened by this end."""
         if len(self._streams) >= self._settings.max_streams:
             raise TooManyStreams(f"{self._settings.max_streams} streams are open")
-        stream.stream_id = self._next_stream
-        self._next_stream += STREAM_STEP
-        self._fresh.discard(stream)
+        stream.stream_id = self._next_stream_id
+        self._next_stream_id += STREAM_ID_STEP
+        self._unstarted_streams.discard(stream)
         self._streams[stream.stream_id] = stream
 
     def put(self, stream_id: int, message: Message) -> None:
@@ -222,19 +223,17 @@
         self.writer.put(Frame(stream_id, self._events.hybrid.tick(), message))
 
     def put_control(self, stream_id: int, message: Message) -> None:
-        """Queue a message without waiting; a peer that doesn't read loses the link."""
-        self._put_unless_stuck(self.writer.put_control, stream_id, message)
+        """Queue a message without waiting; cuts the link if the peer has stopped reading."""
+        self._put_or_cut(self.writer.put_control, stream_id, message)
 
-    def forget_stream(self, stream: MuxStream) -> None:
-        """Take a closed stream off the link."""
-        self._fresh.discard(stream)
+    def remove_stream(self, stream: MuxStream) -> None:
+        """Remove a closed stream from the link."""
+        self._unstarted_streams.discard(stream)
         self._streams.pop(stream.stream_id, None)
         if not self.stream_count:
-            self._quiet.unpark_all()
+            self._drained.unpark_all()
 
-    def _put_unless_stuck(
-        self, put: Callable[[Frame], None], stream_id: int, message: Message
-    ) -> None:
+    def _put_or_cut(self, put: Callable[[Frame], None], stream_id: int, message: Message) -> None:
         if not self.is_up:
             return
         try:
@@ -253,7 +252,7 @@
             frame = await self._reader.read()
             count_received(1)
             self._events.hybrid.observe(frame.stamp)
-            if frame.stream == LINK_STREAM:
+            if frame.stream == CONTROL_STREAM_ID:
                 self._on_link_message(frame.message)
                 continue
             stream = self._streams.get(frame.stream) or self._accept(frame.stream, frame.message)
@@ -267,17 +266,20 @@
             self.fail_stream(stream, violation)
 
     def fail_stream(self, stream: MuxStream, cause: FlowViolation) -> None:
-        """Close one stream for a fault of the peer; the others go on."""
+        """Close one stream after a protocol violation by the peer; other streams continue."""
         self._events.emit(StreamFailed(self.peer.vm, cause.code, cause.detail))
         stream.close(cause.code, cause.detail)
         stream.end(StreamEnded(cause.detail, cause.code))
 
     def _accept(self, stream_id: int, message: Message) -> MuxStream | None:
-        """Open a stream for the peer; ``None`` for a late message of a closed one."""
-        is_new = stream_id % STREAM_STEP == self._peer_parity and stream_id > self._last_peer_stream
+        """Accept a stream opened by the peer; ``None`` for a late message on a closed stream."""
+        is_new = (
+            stream_id % STREAM_ID_STEP == self._peer_parity
+            and stream_id > self._last_peer_stream_id
+        )
         if not is_new or isinstance(message, Credit | StreamClosed):
             return None
-        self._last_peer_stream = stream_id
+        self._last_peer_stream_id = stream_id
         if len(self._streams) >= self._settings.max_streams:
             self.put_control(stream_id, StreamClosed(TooManyStreams.code, "too many streams"))
             return None
@@ -289,45 +291,45 @@
     def _on_link_message(self, message: Message) -> None:
         match message:
             case Ping(nonce):
-                self._put_unless_stuck(self.writer.put_first, LINK_STREAM, Pong(nonce))
+                self._put_or_cut(self.writer.put_first, CONTROL_STREAM_ID, Pong(nonce))
             case Pong():
                 pass
             case Credit(size_bytes):
-                self._open_windows(size_bytes)
+                self._set_initial_credit(size_bytes)
             case StreamClosed():
                 raise LinkCut("the peer has closed the link")
             case Hello() | HelloAck() | HelloConfirm():
                 raise BadFrame(f"{type(message).__name__} on a link that stands")
             case _:
-                self._keep_notice(message)
+                self._queue_notice(message)
 
-    def _open_windows(self, size_bytes: int) -> None:
-        """Take the window that every stream starts with at the peer."""
+    def _set_initial_credit(self, size_bytes: int) -> None:
+        """Set the initial credit of every stream to the peer's window."""
         if self._peer_window_bytes:
             raise BadFrame("the peer's window came twice")
         self._peer_window_bytes = size_bytes
-        for stream in (*self._streams.values(), *self._fresh):
+        for stream in (*self._streams.values(), *self._unstarted_streams):
             stream.add_credit(size_bytes)
 
-    def _keep_notice(self, message: Message) -> None:
-        if len(self._notices) == MAX_WAITING_NOTICES:
+    def _queue_notice(self, message: Message) -> None:
+        if len(self._notices) == MAX_QUEUED_NOTICES:
             dropped = self._notices.popleft()
             self._events.emit(NoticeDropped(self.peer.vm, type(dropped).__name__))
         self._notices.append(message)
-        self._noticed.set()
+        self._has_notices.set()
 
-    async def _hand_out_notices(self) -> None:
+    async def _dispatch_notices(self) -> None:
         while True:
-            await self._noticed.wait()
-            self._noticed = trio.Event()
+            await self._has_notices.wait()
+            self._has_notices = trio.Event()
             while self._notices:
                 await self._on_notice(self.peer, self._notices.popleft())
 
-    async def _watch(self) -> None:
-        """Ask the peer for a sign of life whenever none has come for an interval.
+    async def _monitor_liveness(self) -> None:
+        """Ping the peer whenever nothing was received for an interval.
 
-        A frozen peer breaks no connection: callers would wait for their whole time limit. It is
-        found an interval and a time limit after its last byte.
+        A frozen peer keeps its connection open, so callers would wait for their whole time limit.
+        It is detected after the ping interval plus the ping time limit.
         """
         interval_s = self._settings.ping_interval_s
         while True:
@@ -335,23 +337,23 @@
             if trio.current_time() < due_s:
                 await trio.sleep_until(due_s)
             else:
-                await self._expect_sign_of_life(interval_s, self._settings.ping_time_limit_s)
+                await self._check_liveness(interval_s, self._settings.ping_time_limit_s)
 
-    async def _expect_sign_of_life(self, interval_s: float, limit_s: float) -> None:
-        asked_s = self._ping()
-        while self._reader.last_read_s < asked_s:
-            cut_s = asked_s + limit_s
-            wake_s = min(trio.current_time() + interval_s, cut_s)
+    async def _check_liveness(self, interval_s: float, limit_s: float) -> None:
+        pinged_s = self._ping()
+        while self._reader.last_read_s < pinged_s:
+            deadline_s = pinged_s + limit_s
+            wake_s = min(trio.current_time() + interval_s, deadline_s)
             await trio.sleep_until(wake_s)
-            # A process that was itself paused wakes with its time limit over and the peer's
-            # answer still unread. It asks once more instead of cutting a sound link.
+            # After a pause of this process the time limit has passed, but the peer's response may
+            # still be unread. Ping again instead of cutting a healthy link.
             if trio.current_time() - wake_s > limit_s:
-                asked_s = self._ping()
-            elif self._reader.last_read_s < asked_s and trio.current_time() >= cut_s:
+                pinged_s = self._ping()
+            elif self._reader.last_read_s < pinged_s and trio.current_time() >= deadline_s:
                 raise LinkCut(f"the peer gave no sign of life for {interval_s + limit_s:g} s")
 
     def _ping(self) -> float:
         self._ping_nonce += 1
         ping = Ping(self._ping_nonce)
-        self._put_unless_stuck(self.writer.put_first, LINK_STREAM, ping)
+        self._put_or_cut(self.writer.put_first, CONTROL_STREAM_ID, ping)
         return trio.current_time()
--- a/packages/wire/src/sassafrastally/wire/peer.capnp
+++ b/packages/wire/src/sassafrastally/wire/peer.capnp
@@ -1,11 +1,12 @@
 @0xd5a1f0c3b7e94a62;
-# The peer protocol. Every frame on a link is one Frame. Add fields and union members at the end only.
+# Schema of the peer protocol. Each frame on a link is one Frame. New fields and union members must
+# be added at the end.
 
 struct Frame {
   stream @0 :UInt64;
-  # Stream on the link; 0 carries the link's own messages and notices.
+  # Stream id on the link; stream 0 carries control messages and notices.
   stamp @1 :UInt64;
-  # Hybrid logical stamp of the sender.
+  # Hybrid logical clock timestamp of the sender.
   body :union {
     hello @2 :Hello;
     helloAck @3 :HelloAck;
--- a/packages/wire/src/sassafrastally/wire/peers.py
+++ b/packages/wire/src/sassafrastally/wire/peers.py
@@ -1,4 +1,4 @@
-"""The service that holds the links to all peers."""
+"""Service that manages the links to all peers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from sassafrastally.wire.handshake import Handshake
 from sassafrastally.wire.link import LinkCut, LinkRefused, PeerIdentity, StreamEnded
-from sassafrastally.wire.mux import FIRST_ACCEPTED_STREAM, FIRST_DIALLED_STREAM, MuxLink
+from sassafrastally.wire.mux import FIRST_ACCEPTED_STREAM_ID, FIRST_DIALLED_STREAM_ID, MuxLink
 from sassafrastally.wire.settings import check_peer_settings
 from sassafrastally.wire.tls import tls_contexts, wrap_accepted, wrap_dialled
 
@@ -36,21 +36,21 @@
     LinkHandler = Callable[[Link], Awaitable[None]]
 
 MAX_PENDING_HANDSHAKES = 1024
-"""Accepted connections that have not proved themselves; further ones are closed at once."""
+"""Maximum number of unauthenticated connections; further ones are closed immediately."""
 
 
 @error(2008)
 class NoHandler(CodedError):
-    """Nobody serves streams that begin with such a message; nothing of it has run."""
+    """No handler is registered for the first message of the stream; nothing was executed."""
 
 
 @error(2009)
 class PeersStopping(CodedError):
-    """The process stops and takes no new streams; nothing of it has run."""
+    """The process is stopping and accepts no new streams; nothing was executed."""
 
 
 class _Dial:
-    """A dial in progress, shared by all who wait for the same VM."""
+    """Dial in progress, shared by all tasks that wait for the same VM."""
 
     def __init__(self) -> None:
         self.done = trio.Event()
@@ -59,21 +59,21 @@
 
 
 class PeerService(Service):
-    """Links to the other processes; implements `sassafrastally.wire.link.Peers`.
+    """Manages links to other processes; implements `sassafrastally.wire.link.Peers`.
 
     Parameters
     ----------
     settings
-        Addresses, secret, time limits and bounds.
+        Addresses, secret, timeouts and limits.
     network
-        Where connections come from.
+        Network that opens and accepts connections.
     role
-        Role of the process, told to peers.
+        Role of the process, sent to peers.
 
     Raises
     ------
     PeerSettingsError
-        When the settings can't work.
+        If the settings are invalid.
     """
 
     name: ClassVar[str] = "peers"
@@ -92,59 +92,60 @@
         self._pending_handshakes = 0
         self._is_stopping = False
         self._nursery: trio.Nursery
-        self._me: PeerIdentity
+        self._identity: PeerIdentity
         self._bound_address: Address
 
     @property
     def bound_address(self) -> Address:
-        """Address at which peers are accepted; known after the start."""
+        """Listen address for peers; available after the start."""
         return self._bound_address
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Accept peers."""
+        """Start to accept connections from peers."""
         kernel = self.kernel
         self._nursery = nursery
-        self._me = PeerIdentity(kernel.vm, self._role, kernel.data_centre, kernel.incarnation)
+        self._identity = PeerIdentity(kernel.vm, self._role, kernel.data_centre, kernel.incarnation)
         self._bound_address = await self._network.listen(
             self._settings.listen_address, self._accept, nursery
         )
         kernel.events.emit(PeersListening(str(self._bound_address)))
 
     async def stop(self) -> None:
-        """Let streams in progress end within the time limit, then close the links."""
+        """Wait for open streams to end within the time limit, then close the links."""
         self._is_stopping = True
         async with trio.open_nursery() as nursery:
             for link in self._all_links():
                 nursery.start_soon(link.close, self._settings.stop_time_limit_s)
 
     def on_stream(self, kind: type[Message], handler: StreamHandler) -> None:
-        """Register who serves streams that begin with a message of a type; one task a stream."""
+        """Register the handler of streams whose first message has a type; one task per stream."""
         if kind in self._stream_handlers:
-            raise ValueError(f"streams of {kind.__name__} have a handler")
+            raise ValueError(f"streams of {kind.__name__} already have a handler")
         self._stream_handlers[kind] = handler
 
     def on_notice(self, kind: type[Message], handler: NoticeHandler) -> None:
-        """Register who gets notices of a type."""
+        """Register the handler of notices of a type."""
         if kind in self._notice_handlers:
-            raise ValueError(f"notices of {kind.__name__} have a handler")
+            raise ValueError(f"notices of {kind.__name__} already have a handler")
         self._notice_handlers[kind] = handler
 
     def on_link(self, handler: LinkHandler) -> None:
-        """Register who is told of each link: those that stand and each new one."""
+        """Register a handler for links, called for each existing and each new link."""
         self._link_handlers.append(handler)
         for link in self._all_links():
-            self._nursery.start_soon(self._tell_of_link, handler, link)
+            self._nursery.start_soon(self._call_link_handler, handler, link)
 
     async def link_to(self, vm: str, address: Address) -> Link:
-        """Return the link to a VM, dialling when there is none.
+        """Return the link to a VM, dialling if there is none.
 
-        All who ask while a dial is in progress share its outcome: one by one they would wait a
-        time limit each for a dead VM. The dial goes on when the first of them gives up.
+        All callers during a dial share its outcome; dialling one after the other, each would wait
+        a full time limit for a dead VM. The dial continues if the caller that started it is
+        cancelled.
 
         Raises
         ------
         LinkRefused
-            When the VM doesn't answer or the handshake fails.
+            If the VM doesn't respond or the handshake fails.
         """
         await trio.lowlevel.checkpoint()
         for link in reversed(self._links.get(vm, [])):
@@ -175,7 +176,7 @@
                 stream = wrap_dialled(await self._network.connect(address), self._tls)
                 handshake = self._handshake(stream)
                 peer = await handshake.dial(vm)
-                dial.link = self._make_link(stream, handshake, peer, FIRST_DIALLED_STREAM)
+                dial.link = self._make_link(stream, handshake, peer, FIRST_DIALLED_STREAM_ID)
             if dial.link is None:
                 raise LinkRefused(f"no answer in {self._settings.handshake_time_limit_s:g} s")
         except (LinkRefused, OSError) as cause:
@@ -202,7 +203,7 @@
                 stream = wrap_accepted(connection, self._tls)
                 handshake = self._handshake(stream)
                 peer = await handshake.accept()
-                link = self._make_link(stream, handshake, peer, FIRST_ACCEPTED_STREAM)
+                link = self._make_link(stream, handshake, peer, FIRST_ACCEPTED_STREAM_ID)
             if link is None:
                 raise LinkRefused(f"no proof in {self._settings.handshake_time_limit_s:g} s")
         except LinkRefused as refusal:
@@ -217,16 +218,20 @@
     def _handshake(self, stream: trio.abc.Stream) -> Handshake:
         kernel = self.kernel
         secret = self._settings.link_secret
-        return Handshake(stream, self._me, secret, kernel.random, kernel.events.hybrid)
+        return Handshake(stream, self._identity, secret, kernel.random, kernel.events.hybrid)
 
     def _make_link(
-        self, stream: trio.abc.Stream, handshake: Handshake, peer: PeerIdentity, first_stream: int
+        self,
+        stream: trio.abc.Stream,
+        handshake: Handshake,
+        peer: PeerIdentity,
+        first_stream_id: int,
     ) -> MuxLink:
         return MuxLink(
             stream,
             handshake.reader,
             peer,
-            first_stream,
+            first_stream_id,
             self._settings,
             self.kernel.events,
             self._on_stream_opened,
@@ -238,7 +243,7 @@
         LINKS_UP.add(1)
         self.kernel.events.emit(LinkUp(link.peer.vm, link.peer.incarnation, direction))
         for handler in self._link_handlers:
-            self._nursery.start_soon(self._tell_of_link, handler, link)
+            self._nursery.start_soon(self._call_link_handler, handler, link)
 
     async def _run_link(self, link: MuxLink) -> None:
         peer = link.peer
@@ -264,9 +269,9 @@
             try:
                 await handler(stream, await stream.receive())
             except* (LinkCut, StreamEnded):
-                pass  # The peer is gone or has what it wanted; the link's own event says which.
+                pass  # The link is down, which has its own event, or the peer closed the stream.
             except* CodedError as group:
-                cause = _first_coded(group)
+                cause = _first_coded_error(group)
                 self.kernel.events.emit(StreamFailed(stream.peer.vm, cause.code, cause.detail))
                 stream.close(cause.code, cause.detail)
 
@@ -279,23 +284,23 @@
         except* CodedError as group:
             self._emit_handler_failed(peer, group)
 
-    async def _tell_of_link(self, handler: LinkHandler, link: MuxLink) -> None:
+    async def _call_link_handler(self, handler: LinkHandler, link: MuxLink) -> None:
         try:
             await handler(link)
         except* LinkCut:
-            pass  # The link's own event says so.
+            pass  # Reported by the LinkDown event.
         except* CodedError as group:
             self._emit_handler_failed(link.peer, group)
 
     def _emit_handler_failed(
         self, peer: PeerIdentity, group: BaseExceptionGroup[CodedError]
     ) -> None:
-        cause = _first_coded(group)
+        cause = _first_coded_error(group)
         self.kernel.events.emit(PeerHandlerFailed(peer.vm, cause.code, cause.detail))
 
 
-def _first_coded(group: BaseExceptionGroup[CodedError]) -> CodedError:
-    """Return the first error of a group; handlers with nurseries of their own raise groups."""
+def _first_coded_error(group: BaseExceptionGroup[CodedError]) -> CodedError:
+    """Return the first error of a group; handlers that use nurseries raise groups."""
     first: BaseException = group
     while isinstance(first, BaseExceptionGroup):
         first = first.exceptions[0]
--- a/packages/wire/src/sassafrastally/wire/request_messages.py
+++ b/packages/wire/src/sassafrastally/wire/request_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the request path, between entries and sidecars."""
+"""Messages of the request path between entries and sidecars."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Reserve(NamedTuple):
-    """Asks a sidecar for room for one attempt at a request."""
+    """Asks a sidecar to reserve capacity for one attempt of a request."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     model: str = ""
     """Name of a model; empty for a plain service."""
     service: str = ""
@@ -21,59 +21,59 @@
     max_output_tokens: int = 0
     prefix_hashes: tuple[int, ...] = ()
     time_limit_s: float = 0.0
-    """Seconds left until the time limit of the whole request."""
+    """Seconds remaining until the time limit of the whole request."""
     idempotent: bool = False
     priority: int = 0
     body_size_bytes: int = 0
     generation: int = 0
-    """Generation of the bundle in force at the sender."""
+    """Generation of the sender's active bundle."""
     commit_now: bool = False
     """Whether the reservation is committed by the same message; only for idempotent requests."""
     shown_tokens: int = 0
-    """Tokens of an earlier attempt that the caller has seen; the run resumes after them."""
+    """Tokens of an earlier attempt that were sent to the caller; generation resumes after them."""
     operation: str = ""
-    """Method and path that the caller used, such as ``POST /v1/completions``."""
+    """Method and path of the caller's request, such as ``POST /v1/completions``."""
     segment_tokens: int = 0
-    """Tokens of the prompt that this engine computes as its segment of a span; 0 for the whole
-    prompt. `prompt_tokens` then ends with the segment; no output is asked of any but the last."""
+    """Prompt tokens that this engine computes as its segment of a span; 0 for the whole prompt.
+    `prompt_tokens` then ends with the segment; only the last segment generates output."""
     starts_in_s: float = 0.0
-    """In how many seconds the segments before it are expected to be done."""
+    """Expected seconds until the preceding segments are done."""
     import_handles: tuple[str, ...] = ()
-    """KV exports of the segments before it, in prompt order, in this and the next two fields."""
+    """KV exports of the preceding segments in prompt order, in this and the next two fields."""
     import_sources: tuple[str, ...] = ()
-    """Addresses of their engines."""
+    """Addresses of the exporting engines."""
     import_tokens: tuple[int, ...] = ()
     max_wait_s: float = 0.0
-    """How long other work may delay the first token; refused as ``busy`` beyond. 0: any time."""
+    """Maximum delay of the first token by other work; refused as ``busy`` above it. 0: no limit."""
 
 
 class Reserved(NamedTuple):
-    """Room is kept until it lapses on the clock of the sidecar."""
+    """Capacity is reserved until the reservation expires by the sidecar's clock."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     predicted_first_token_s: float = 0.0
     predicted_total_s: float = 0.0
     lapse_s: float = 0.0
-    """After how many seconds the reservation lapses."""
+    """Seconds until the reservation expires."""
     cached_tokens: int = 0
     engine_address: str = ""
-    """Where other engines fetch KV exports of the sidecar's engine; only for spans."""
+    """Address where other engines fetch KV exports of the sidecar's engine; only for spans."""
 
 
 class Refused(NamedTuple):
-    """The sidecar takes no part of the attempt; it has not run."""
+    """The sidecar refuses the attempt, which was not executed."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     code: str = ""
-    """Code of the refusal or failure; empty when there is none."""
+    """Code of the refusal or failure; empty if there is none."""
     limit: float = 0.0
     measured: float = 0.0
     retry_after_s: float = 0.0
@@ -81,43 +81,43 @@
 
 
 class Commit(NamedTuple):
-    """Spends a reservation; the request's body follows as chunks."""
+    """Commits a reservation; the request body follows as chunks."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     time_limit_s: float = 0.0
-    """Seconds left until the time limit of the whole request."""
+    """Seconds remaining until the time limit of the whole request."""
 
 
 class Chunk(NamedTuple):
-    """A piece of a request body or of an answer."""
+    """Part of a request body or a response."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     sequence: int = 0
-    """Number of the chunk, from 0."""
+    """Sequence number of the chunk, starting at 0."""
     tokens: int = 0
-    """Tokens in the chunk; 0 for plain bytes."""
+    """Number of tokens in the chunk; 0 for plain bytes."""
     data: bytes = b""
 
 
 class End(NamedTuple):
-    """The end mark of an answer."""
+    """End of a response."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     outcome: str = ""
     """One of `Outcome`."""
     chunks: int = 0
-    """How many chunks the answer has; the reader checks that it got them all."""
+    """Number of chunks in the response; the reader checks that it received all of them."""
     status: int = 0
     """HTTP status."""
     prompt_tokens: int = 0
@@ -125,56 +125,56 @@
     output_tokens: int = 0
     finish_reason: str = ""
     code: str = ""
-    """Code of the refusal or failure; empty when there is none."""
+    """Code of the refusal or failure; empty if there is none."""
     detail: str = ""
     retry_after_s: float = 0.0
     content_type: str = ""
 
 
 class Cancel(NamedTuple):
-    """Gives an attempt up: a reservation is released, a run is cancelled and freed."""
+    """Cancels an attempt: releases its reservation, or aborts its run and frees the resources."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     reason: str = ""
 
 
 class Query(NamedTuple):
-    """Asks an incarnation what became of an attempt, and may void it there."""
+    """Queries an incarnation for the state of an attempt, and optionally voids the attempt."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     void_if_uncommitted: bool = False
 
 
 class QueryReply(NamedTuple):
-    """Answers `Query`."""
+    """Response to `Query`."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     state: str = ""
     """One of `AttemptState`."""
 
 
 class Attach(NamedTuple):
-    """Asks for the chunks of a committed attempt from a sequence number on."""
+    """Requests the chunks of a committed attempt, starting at a sequence number."""
 
     request_id: str = ""
-    """Name of the request, 32 hexadecimal digits."""
+    """Id of the request, 32 hexadecimal digits."""
     attempt: int = 0
-    """Number of the attempt, counted by the entry from 1."""
+    """Attempt number, assigned by the entry and starting at 1."""
     incarnation: str = ""
-    """Life of the process that the message speaks of."""
+    """Incarnation of the process that the message refers to."""
     from_sequence: int = 0
     time_limit_s: float = 0.0
-    """Seconds left until the time limit of the whole request."""
+    """Seconds remaining until the time limit of the whole request."""
--- a/packages/wire/src/sassafrastally/wire/settings.py
+++ b/packages/wire/src/sassafrastally/wire/settings.py
@@ -10,68 +10,67 @@
 from sassafrastally.wire.messages import MAX_CHUNK_BYTES
 
 CHUNK_OVERHEAD_BYTES = 128
-"""What a chunk costs of a stream's credit besides its data. Without it a peer could send empty
-chunks without end, and a window of one-token chunks would be held as tens of thousands of
-objects."""
+"""Credit charged for a chunk in addition to its data. Without it a peer could send any number of
+empty chunks, and a window of one-token chunks would buffer tens of thousands of objects."""
 
 MIN_WINDOW_BYTES = 2 * (MAX_CHUNK_BYTES + CHUNK_OVERHEAD_BYTES)
-"""Credit is handed back in quarters of a window; at this size what remains still takes the longest
-chunk, so that no sender waits for credit that the reader keeps back."""
+"""Minimum stream window. Credit is returned in quarters of a window; at this size the remaining
+credit still fits the longest chunk, so a sender never waits for credit held back by the reader."""
 
 MIN_SECRET_CHARS = 16
-"""Shortest link secret."""
+"""Minimum length of the link secret."""
 
 
 @error(2005)
 class PeerSettingsError(CodedError):
-    """The settings of the links can't work."""
+    """The link settings are invalid."""
 
 
 @section("peer")
 class PeerSettings(NamedTuple):
-    """Links to other processes."""
+    """Settings of links to other processes."""
 
     listen_address: Address
-    """IP number and port where peers connect."""
+    """IP address and port where peers connect."""
     link_secret: Secret
-    """Secret that all processes of the fleet share, at least 16 characters."""
+    """Secret shared by all processes of the fleet, at least 16 characters."""
     handshake_time_limit_s: float = 5.0
-    """How long connecting and proving who one is may take together."""
+    """Time limit for connection setup and handshake together."""
     ping_interval_s: float = 2.6
-    """After how long without a sign of life a peer is asked for one; longer than a sidecar's
-    pause between reports, so that reports spare the questions."""
+    """Idle time after which a peer is pinged; longer than a sidecar's report interval, so that
+    reports make pings unnecessary."""
     ping_time_limit_s: float = 2.4
-    """How long it may take to answer before the link is cut."""
+    """Time limit for a response to a ping before the link is cut."""
     stop_time_limit_s: float = 10.0
-    """How long a stopping process waits for the streams that are in progress."""
+    """How long a stopping process waits for open streams."""
     window_bytes: int = 256 * 1024
-    """Chunk bytes that a peer may send ahead on a stream, with 128 bytes counted for each chunk."""
+    """Chunk bytes that a peer may send ahead on a stream, plus 128 bytes for each chunk."""
     max_streams: int = 256
-    """Most streams that either end may have open on a link."""
+    """Maximum number of open streams on a link, counted at each end."""
     tls_certificate: str = ""
-    """Certificate chain as PEM text or the path of a file; empty for links without TLS."""
+    """Certificate chain as PEM text or a file path; empty for links without TLS."""
     tls_key: Secret = Secret("")
-    """Private key as PEM text or the path of a file."""
+    """Private key as PEM text or a file path."""
     tls_ca: str = ""
-    """Certificates that sign the peers' ones, as PEM text or the path of a file."""
+    """CA certificates of the peers, as PEM text or a file path."""
 
 
 def check_peer_settings(settings: PeerSettings) -> None:
-    """Check what types can't say.
+    """Validate constraints that the types don't express.
 
     Raises
     ------
     PeerSettingsError
-        When the secret is short, a window can't hold two chunks, a time limit or the number of
-        streams is not positive or a part of the TLS settings is missing.
+        If the secret is too short, a window can't hold two chunks, a time limit or the number of
+        streams isn't positive, or a TLS setting is missing.
     """
     if len(settings.link_secret) < MIN_SECRET_CHARS:
-        raise PeerSettingsError(f"peer.link_secret has under {MIN_SECRET_CHARS} characters")
+        raise PeerSettingsError(f"peer.link_secret has fewer than {MIN_SECRET_CHARS} characters")
     if settings.window_bytes < MIN_WINDOW_BYTES:
-        raise PeerSettingsError(f"peer.window_bytes is under {MIN_WINDOW_BYTES}")
+        raise PeerSettingsError(f"peer.window_bytes must be at least {MIN_WINDOW_BYTES}")
     for name in ("handshake_time_limit_s", "ping_interval_s", "ping_time_limit_s", "max_streams"):
         if getattr(settings, name) <= 0:
             raise PeerSettingsError(f"peer.{name} must be positive")
     tls = (settings.tls_certificate, settings.tls_key, settings.tls_ca)
     if any(tls) and not all(tls):
-        raise PeerSettingsError("peer.tls_certificate, tls_key and tls_ca go together")
+        raise PeerSettingsError("peer.tls_certificate, tls_key and tls_ca must be set together")
--- a/packages/wire/src/sassafrastally/wire/streams.py
+++ b/packages/wire/src/sassafrastally/wire/streams.py
@@ -1,4 +1,4 @@
-"""One conversation on a link, with credit for chunks and bounds for the rest."""
+"""Streams of a link, with credit-based flow control for chunks and limits for other messages."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
     from sassafrastally.wire.messages import Message
 
 MAX_UNREAD_MESSAGES = 64
-"""Messages other than chunks that a stream holds unread."""
+"""Maximum number of unread messages other than chunks in a stream."""
 
 MAX_UNREAD_BYTES = 1024 * 1024
-"""Bytes of such messages that a stream holds unread."""
+"""Maximum size of unread messages other than chunks in a stream."""
 
 MAX_CHUNK_COST_BYTES = MAX_CHUNK_BYTES + CHUNK_OVERHEAD_BYTES
-"""What the longest chunk costs of a stream's credit."""
+"""Credit charged for the longest chunk."""
 
-CREDIT_SHARES = 4
-"""Credit goes back whenever this part of the window has been read."""
+CREDIT_RETURNS_PER_WINDOW = 4
+"""Credit is returned each time this fraction (1/4) of the window has been read."""
 
 
 @error(2006)
 class FlowViolation(CodedError):
-    """The peer sent more on a stream than it was allowed to."""
+    """The peer exceeded the flow-control limits of a stream."""
 
 
 @error(2007)
 class TooManyStreams(CodedError):
-    """A link has as many streams open as it may have; nothing of the new one has run."""
+    """The link has reached its limit of open streams; nothing of the new stream was executed."""
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of its link."""
+    """Interface of the link that a stream uses."""
 
     peer: PeerIdentity
     writer: FrameWriter
     window_bytes: int
 
-    def start_stream(self, stream: MuxStream) -> None:
-        """Give a stream its number on the link. Raises `TooManyStreams`."""
+    def assign_stream_id(self, stream: MuxStream) -> None:
+        """Assign an id to a stream. Raises `TooManyStreams`."""
         ...
 
     def put(self, stream_id: int, message: Message) -> None:
@@ -62,8 +62,8 @@
         """Queue a message without waiting for room."""
         ...
 
-    def forget_stream(self, stream: MuxStream) -> None:
-        """Take a closed stream off the link."""
+    def remove_stream(self, stream: MuxStream) -> None:
+        """Remove a closed stream from the link."""
         ...
 
 
@@ -73,7 +73,7 @@
 
 
 def chunk_cost_bytes(chunk: Chunk) -> int:
-    """Return what a chunk costs of its stream's credit."""
+    """Return the credit charged for a chunk."""
     return len(chunk.data) + CHUNK_OVERHEAD_BYTES
 
 
@@ -83,11 +83,11 @@
     Parameters
     ----------
     link
-        The link that carries it.
+        Link of the stream.
     stream_id
-        Its number; 0 while nothing was sent on a stream that this end opens.
+        Id of the stream; 0 until the first message is sent on a stream opened by this end.
     credit_bytes
-        What the peer takes at first.
+        Initial credit granted by the peer.
     """
 
     def __init__(self, link: StreamOwner, stream_id: int, credit_bytes: int) -> None:
@@ -98,63 +98,63 @@
         self._unread_chunk_bytes = 0
         self._unread_messages = 0
         self._unread_message_bytes = 0
-        self._owed_credit_bytes = 0
+        self._unreturned_credit_bytes = 0
         self._changed = trio.lowlevel.ParkingLot()
         self._end: LinkCut | StreamEnded | None = None
         self._is_closed = False
 
     @property
     def peer(self) -> PeerIdentity:
-        """The other end."""
+        """Identity of the peer."""
         return self._link.peer
 
     async def send(self, message: Message) -> None:
-        """Send a message; a chunk waits for the peer's credit.
+        """Send a message; a chunk waits for credit.
 
         Raises
         ------
         LinkCut
-            When the link is gone.
+            If the link was cut.
         StreamEnded
-            When the peer has closed the stream.
+            If the peer has closed the stream.
         BadFrame
-            When the message is over a bound.
+            If the message exceeds a limit.
         """
         cost = chunk_cost_bytes(message) if isinstance(message, Chunk) else 0
         if cost > MAX_CHUNK_COST_BYTES:
             raise BadFrame(f"a chunk that costs {cost} bytes is over {MAX_CHUNK_COST_BYTES}")
-        await self._link.writer.wait_room()
+        await self._link.writer.wait_writable()
         while self._is_open() and cost > self._credit_bytes:
             await self._changed.park()
-            await self._link.writer.wait_room()
-        self._raise_end()
+            await self._link.writer.wait_writable()
+        self._raise_if_ended()
         if not self.stream_id:
-            # The number is taken with the first frame: numbers then reach the peer in order, and
-            # one that it has passed is known to be of a closed stream.
-            self._link.start_stream(self)
+            # The id is assigned with the first frame, so ids reach the peer in increasing order and
+            # an unknown lower id always belongs to a closed stream.
+            self._link.assign_stream_id(self)
         self._credit_bytes -= cost
         self._link.put(self.stream_id, message)
 
     async def receive_ready(self) -> list[Message]:
-        """Return the next message and all that are there behind it; raises as `receive` does."""
+        """Return the next message and all others already received; raises as `receive` does."""
         ready = [await self.receive()]
         while self._inbox:
             ready.append(self._take())
         return ready
 
     async def receive(self) -> Message:
-        """Return the next message; what came before an end is still returned.
+        """Return the next message; messages received before the end are still returned.
 
         Raises
         ------
         LinkCut
-            When the link is gone.
+            If the link was cut.
         StreamEnded
-            When the peer has closed the stream.
+            If the peer has closed the stream.
         """
         await trio.lowlevel.checkpoint()
         while not self._inbox:
-            self._raise_end()
+            self._raise_if_ended()
             await self._changed.park()
         return self._take()
 
@@ -170,32 +170,32 @@
         self.close()
 
     def close(self, code: int = 0, reason: str = "") -> None:
-        """Close the stream and tell the peer unless it has closed it first."""
+        """Close the stream and notify the peer unless the stream has already ended."""
         if self._is_closed:
             return
         self._is_closed = True
         self._inbox.clear()
         self._changed.unpark_all()
-        self._link.forget_stream(self)
+        self._link.remove_stream(self)
         if self.stream_id and self._end is None:
             self._link.put_control(self.stream_id, StreamClosed(code, reason))
 
     def deliver(self, message: Message, size_bytes: int) -> None:
-        """Take a message from the link's reader, which never waits here.
+        """Deliver a message from the link's reader without blocking.
 
         Parameters
         ----------
         message
-            What came.
+            Received message.
         size_bytes
-            Length of its frame.
+            Size of its frame.
 
         Raises
         ------
         FlowViolation
-            When the peer breaks a bound. An honest one doesn't; one that does would have this
-            process hold its data without end, or have the reader wait and so stop every other
-            stream of the link.
+            If the peer exceeds a limit, which a correct peer never does. Otherwise the process
+            would have to buffer without bound, or block the reader and with it all other streams
+            of the link.
         """
         if self._is_closed or self._end:
             return
@@ -210,12 +210,12 @@
         self._changed.unpark_all()
 
     def add_credit(self, size_bytes: int) -> None:
-        """Take credit from the peer."""
+        """Add credit granted by the peer."""
         self._credit_bytes += size_bytes
         self._changed.unpark_all()
 
     def end(self, end: LinkCut | StreamEnded) -> None:
-        """End the stream from the other side: nothing more can be sent or will come."""
+        """Mark the stream as ended: no more messages can be sent or received."""
         if self._end is None:
             self._end = end
             self._changed.unpark_all()
@@ -224,7 +224,7 @@
         if isinstance(message, Chunk):
             cost = chunk_cost_bytes(message)
             self._unread_chunk_bytes += cost
-            if self._unread_chunk_bytes + self._owed_credit_bytes > self._link.window_bytes:
+            if self._unread_chunk_bytes + self._unreturned_credit_bytes > self._link.window_bytes:
                 raise FlowViolation("chunks beyond the stream's credit")
             return cost
         self._unread_messages += 1
@@ -240,22 +240,25 @@
         message, cost = self._inbox.popleft()
         if isinstance(message, Chunk):
             self._unread_chunk_bytes -= cost
-            self._owe_credit(cost)
+            self._return_credit(cost)
         else:
             self._unread_messages -= 1
             self._unread_message_bytes -= cost
         return message
 
-    def _owe_credit(self, cost: int) -> None:
-        self._owed_credit_bytes += cost
-        if self._owed_credit_bytes * CREDIT_SHARES >= self._link.window_bytes and self._is_open():
-            self._link.put_control(self.stream_id, Credit(self._owed_credit_bytes))
-            self._owed_credit_bytes = 0
+    def _return_credit(self, cost: int) -> None:
+        self._unreturned_credit_bytes += cost
+        if (
+            self._unreturned_credit_bytes * CREDIT_RETURNS_PER_WINDOW >= self._link.window_bytes
+            and self._is_open()
+        ):
+            self._link.put_control(self.stream_id, Credit(self._unreturned_credit_bytes))
+            self._unreturned_credit_bytes = 0
 
     def _is_open(self) -> bool:
         return self._end is None and not self._is_closed
 
-    def _raise_end(self) -> None:
+    def _raise_if_ended(self) -> None:
         if isinstance(self._end, StreamEnded):
             raise StreamEnded(self._end.detail, self._end.peer_code)
         if self._end is not None:
--- a/packages/wire/src/sassafrastally/wire/tls.py
+++ b/packages/wire/src/sassafrastally/wire/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS under a link, with keys from the settings."""
+"""Mutual TLS for links, with keys from the settings."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
     from sassafrastally.wire.settings import PeerSettings
 
-_PEM_MARK = "-----BEGIN"
+_PEM_HEADER = "-----BEGIN"
 
 
 class TlsContexts(NamedTuple):
-    """What both directions of a connection are wrapped with."""
+    """TLS contexts of both roles of a connection."""
 
     dialler: ssl.SSLContext
     acceptor: ssl.SSLContext
 
 
 def tls_contexts(settings: PeerSettings) -> TlsContexts | None:
-    """Return the contexts of the settings, ``None`` for links without TLS.
+    """Create the TLS contexts from the settings; ``None`` for links without TLS.
 
     Raises
     ------
     PeerSettingsError
-        When a certificate or key can't be read.
+        If a certificate or key can't be read.
     """
     if not settings.tls_certificate:
         return None
@@ -46,19 +46,19 @@
 
 
 def wrap_dialled(stream: trio.abc.Stream, contexts: TlsContexts | None) -> trio.abc.Stream:
-    """Return the stream, under TLS if there is any."""
+    """Wrap a dialled stream in TLS if it is configured."""
     return trio.SSLStream(stream, contexts.dialler) if contexts else stream
 
 
 def wrap_accepted(stream: trio.abc.Stream, contexts: TlsContexts | None) -> trio.abc.Stream:
-    """Return the stream, under TLS if there is any."""
+    """Wrap an accepted stream in TLS if it is configured."""
     return trio.SSLStream(stream, contexts.acceptor, server_side=True) if contexts else stream
 
 
 def _context(settings: PeerSettings, protocol: int) -> ssl.SSLContext:
     context = ssl.SSLContext(protocol)
-    # VMs come and go under changing addresses, so certificates don't name them: the fleet's own
-    # authority vouches for a peer, and the handshake of the link says which VM it is.
+    # VMs are replaced and change addresses, so certificates don't contain host names. The fleet's
+    # certificate authority authenticates a peer, and the link handshake identifies the VM.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.minimum_version = ssl.TLSVersion.TLSv1_3
@@ -69,16 +69,16 @@
 
 
 def _pem_text(value: str) -> str:
-    return value if _PEM_MARK in value else Path(value).read_text()
+    return value if _PEM_HEADER in value else Path(value).read_text()
 
 
 @contextmanager
 def _as_path(value: str) -> Iterator[str]:
-    """Give a path for PEM text: the library loads keys from files alone, and VMs have no disks.
+    """Yield a file path for PEM text; the library loads keys only from files and VMs have no disks.
 
-    The file is anonymous and private to the process, so a key never lies in a file system.
+    The file is anonymous and private to the process, so the key is never stored in a file system.
     """
-    if _PEM_MARK not in value:
+    if _PEM_HEADER not in value:
         yield value
         return
     descriptor = os.memfd_create("pem")
--- a/packages/wire/tests/conftest.py
+++ b/packages/wire/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Two processes on a network in memory, and a peer that speaks the protocol by hand."""
+"""Fixtures: two processes on an in-memory network, and a raw protocol peer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RawPeer(NamedTuple):
-    """A peer under the test's control."""
+    """Peer whose frames the test sends and reads directly."""
 
     stream: trio.abc.Stream
     reader: FrameReader
@@ -36,7 +36,7 @@
 
 
 class Fleet:
-    """Processes of a test."""
+    """Processes on an in-memory network."""
 
     def __init__(self, nursery):
         self.network = MemoryNetwork(latency_s=0.001)
@@ -51,8 +51,8 @@
         return service
 
     def handshake(self, stream, secret=SECRET, vm="stranger"):
-        me = PeerIdentity(vm, "entry", "sala-cerro", Incarnation("f" * 32))
-        return Handshake(stream, me, secret, random.Random(1), HybridClock(Clock()))
+        identity = PeerIdentity(vm, "entry", "sala-cerro", Incarnation("f" * 32))
+        return Handshake(stream, identity, secret, random.Random(1), HybridClock(Clock()))
 
     async def raw_peer(self, service):
         stream = await self.network.host("stranger").connect(service.bound_address)
@@ -73,7 +73,7 @@
 
 
 def event_names(service):
-    """Return the names of the events of a process."""
+    """Return the names of the events emitted by a process."""
     return [record["name"] for record in service.kernel.events.records()]
 
 
--- a/packages/wire/tests/test_framing.py
+++ b/packages/wire/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Tests of frames on a byte stream, with damaged input among them."""
+"""Tests of frames on a byte stream, including damaged input."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 @st.composite
 def damaged(draw, valid):
-    """Return valid bytes with some of them changed, cut off or put in."""
+    """Return valid bytes with random replacements, deletions and insertions."""
     data = bytearray(valid)
     for _ in range(draw(st.integers(1, 8))):
-        place = draw(st.integers(0, len(data)))
-        data[place : place + draw(st.integers(0, 4))] = draw(st.binary(max_size=4))
+        position = draw(st.integers(0, len(data)))
+        data[position : position + draw(st.integers(0, 4))] = draw(st.binary(max_size=4))
     return bytes(data)
 
 
 class Pieces(trio.abc.ReceiveStream):
-    """Gives one piece for each read; trio's memory stream would join what waits in it."""
+    """Stream that returns one piece per read; trio's memory stream would join buffered data."""
 
     def __init__(self, pieces):
         self._pieces = [piece for piece in pieces if piece]
@@ -62,7 +62,7 @@
     return frames
 
 
-def read_naively(data):
+def read_reference(data):
     frames = []
     while len(data) >= LENGTH_BYTES:
         size = int.from_bytes(data[:LENGTH_BYTES], "big")
@@ -77,7 +77,7 @@
 
 
 class TestFrameReader:
-    async def test_frames_come_whole_however_the_bytes_are_cut(self):
+    async def test_frames_are_read_whole_from_any_fragmentation(self):
         data = b"".join(frame_bytes(frame) for frame in FRAMES)
         assert await read_all(data) == FRAMES
         assert await read_all(*(data[n : n + 1] for n in range(len(data)))) == FRAMES
@@ -85,16 +85,16 @@
     @FIXED
     @given(damaged(VALID))
     def test_damaged_bytes_raise_coded_errors(self, data):
-        """A peer's memory or its program is broken: the reader ends with an error of its own."""
+        """A faulty peer sends damaged bytes: the reader must raise one of its coded errors."""
         trio.run(read_all, data)
 
     @FIXED
     @given(damaged(VALID), st.lists(st.integers(0, len(VALID)), max_size=12))
-    def test_agrees_with_a_naive_reader(self, data, cuts):
-        """The naive reader has all bytes at once and cuts frame after frame off their front."""
+    def test_agrees_with_a_reference_reader(self, data, cuts):
+        """The reference reader parses the frames from the complete bytes."""
         edges = sorted({0, *(min(cut, len(data)) for cut in cuts), len(data)})
         pieces = [data[begin:end] for begin, end in itertools.pairwise(edges)]
-        assert trio.run(read_all, *pieces) == read_naively(data)
+        assert trio.run(read_all, *pieces) == read_reference(data)
 
 
 class TestDecodeFrame:
@@ -106,7 +106,7 @@
 
 
 class TestFrameWriter:
-    async def test_ready_frames_leave_in_one_send(self, autojump_clock):
+    async def test_queued_frames_are_sent_in_one_write(self, autojump_clock):
         sends = []
         stream = trio.testing.MemorySendStream()
 
@@ -121,8 +121,8 @@
             await writer.run()
         assert sends == [b"".join(frame_bytes(frame) for frame in FRAMES)]
 
-    async def test_sign_of_life_passes_a_full_queue(self, autojump_clock):
-        """A connection carries much: a ping behind the queue would come too late to save it."""
+    async def test_ping_is_sent_before_queued_frames(self, autojump_clock):
+        """On a busy connection, a ping behind the queue would arrive after the time limit."""
         stream = trio.testing.MemorySendStream()
         writer = FrameWriter(stream)
         for frame in FRAMES:
@@ -132,17 +132,17 @@
             await writer.run()
         assert stream.get_data_nowait().startswith(frame_bytes(Frame(0, 1, Ping(1))))
 
-    async def test_senders_wait_for_room(self, autojump_clock):
+    async def test_senders_wait_while_the_queue_is_full(self, autojump_clock):
         writer = FrameWriter(trio.testing.MemorySendStream())
         with trio.move_on_after(1) as scope:
             for _ in range(1000):
-                await writer.wait_room()
+                await writer.wait_writable()
                 writer.put(Frame(1, 1, Query("r" * 1000)))
         assert scope.cancelled_caught
         with trio.move_on_after(1) as scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(writer.run)
-                await writer.wait_room()
+                await writer.wait_writable()
                 await writer.wait_idle()
                 nursery.cancel_scope.cancel()
         assert not scope.cancelled_caught
--- a/packages/wire/tests/test_handshake.py
+++ b/packages/wire/tests/test_handshake.py
@@ -1,4 +1,4 @@
-"""Tests of the mutual proof: who has no secret gets in nowhere."""
+"""Tests of mutual authentication: a peer without the secret is refused."""
 
 from __future__ import annotations
 
@@ -65,20 +65,24 @@
         with trio.fail_after(1):
             assert reason in await self.assert_refused(pair, events_of, stream)
 
-    async def test_streams_wait_for_the_proof(self, pair, events_of, stream, autojump_clock):
-        """A stranger sends a query behind its hello, before any proof: nobody handles it."""
+    async def test_streams_are_refused_before_authentication(
+        self, pair, events_of, stream, autojump_clock
+    ):
+        """An unauthenticated peer sends a query right after its hello; it must not be handled."""
         await send(stream, HELLO)
         await send(stream, Query("r1"))
         await self.assert_refused(pair, events_of, stream)
 
-    async def test_silent_peer_is_dropped_in_time(self, pair, events_of, stream, autojump_clock):
+    async def test_silent_peer_is_dropped_after_the_time_limit(
+        self, pair, events_of, stream, autojump_clock
+    ):
         with trio.fail_after(5.1):
             await self.assert_refused(pair, events_of, stream)
 
     async def test_mirrored_proof(self, pair, events_of, stream, autojump_clock):
-        """A stranger returns the acceptor's own proof as its confirmation.
+        """Guards against a peer that returns the acceptor's own proof as its confirmation.
 
-        Were the direction not part of the proof, it would be right and the stranger would be in.
+        If the direction weren't part of the proof, the proof would be valid.
         """
         await send(stream, HELLO)
         ack = (await FrameReader(stream).read()).message
@@ -88,9 +92,11 @@
 
 class TestDialler:
     async def test_reflected_hello(self, pair, events_of, autojump_clock):
-        """A stranger has taken over an address. It hands the dialler's hello to the dialler itself
-        on a second connection and gets an answer with a right proof, which it returns on the
-        first. The dialler would send its requests to the stranger.
+        """Guards against a reflection attack by a peer without the secret.
+
+        The attacker owns the dialled address. It relays the dialler's hello to the dialler itself
+        on a second connection and returns the response, which has a valid proof, on the first. If
+        this were accepted, the dialler would send its requests to the attacker.
         """
         network = pair.fleet.network.host("entry-1")
 
@@ -107,8 +113,8 @@
         assert pair.entry.links() == []
         assert events_of(pair.entry).count("HandshakeRefused") == 2
 
-    async def test_reason_of_the_acceptor_is_told(self, pair, autojump_clock):
-        """A fleet is updated half: the operator reads why two processes have no link."""
+    async def test_reason_of_the_acceptor_is_reported(self, pair, autojump_clock):
+        """In a partly updated fleet, the operator must see why two processes have no link."""
 
         async def refuse(stream):
             await send(stream, StreamClosed(LinkRefused.code, "schema version 1, not 2"))
--- a/packages/wire/tests/test_mux.py
+++ b/packages/wire/tests/test_mux.py
@@ -1,4 +1,4 @@
-"""Tests of streams and of what one bad or dead peer can do to others."""
+"""Tests of streams and of isolation from faulty or dead peers."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     TooManyStreams,
 )
 from sassafrastally.wire.framing import LENGTH_BYTES
-from sassafrastally.wire.mux import MAX_WAITING_NOTICES
+from sassafrastally.wire.mux import MAX_QUEUED_NOTICES
 from sassafrastally.wire.settings import MIN_WINDOW_BYTES
 
 
 async def hold(stream, message):
-    """Serve a stream without ever reading it."""
+    """Handle a stream without ever reading it."""
     await trio.sleep_forever()
 
 
 class TestFlow:
-    async def test_slow_reader_stops_nobody_else(self, pair, autojump_clock):
-        """One caller stops reading a long answer; the others on its link wait for it.
+    async def test_slow_reader_does_not_block_other_streams(self, pair, autojump_clock):
+        """Guards against head-of-line blocking by a caller that stops reading.
 
-        The answer's chunks fill the caller's window. A reader that waited for room there would
-        leave the frames of all other streams unread.
+        The chunks of a long response fill the caller's window. If the link's reader waited for
+        space there, it would not read the frames of the other streams.
         """
 
         async def answer(stream, reserve):
@@ -57,8 +57,8 @@
         assert [chunk.sequence for chunk in received[:-1]] == list(range(200))
         assert received[-1] == End("r1", chunks=200)
 
-    async def test_longest_chunks_pass_the_smallest_window(self, fleet, autojump_clock):
-        """The credit that a reader keeps back must never be what a sender waits for."""
+    async def test_longest_chunks_fit_the_smallest_window(self, fleet, autojump_clock):
+        """A sender must never wait for credit that the reader holds back."""
         entry = await fleet.start("entry-1", window_bytes=MIN_WINDOW_BYTES)
         sidecar = await fleet.start("sidecar-1", window_bytes=4 * MIN_WINDOW_BYTES)
 
@@ -78,7 +78,7 @@
                     for _ in range(size):
                         assert await stream.receive() == chunk
 
-    async def test_chunk_over_the_bound_is_not_sent(self, pair, autojump_clock):
+    async def test_chunk_over_the_limit_is_not_sent(self, pair, autojump_clock):
         async with (await pair.link()).open_stream() as stream:
             with pytest.raises(BadFrame):
                 await stream.send(Chunk(data=bytes(MAX_CHUNK_BYTES + 1)))
@@ -94,10 +94,10 @@
         ids=["chunks", "empty chunks", "messages", "long messages"],
     )
     async def test_flood(self, pair, events_of, message, count, autojump_clock):
-        """A peer sends on a stream without regard to credit, while its handler doesn't read.
+        """Guards against memory exhaustion or a blocked link when a peer ignores flow control.
 
-        The process would hold it all and run out of memory, or stop reading the whole link. Only
-        that stream is closed, with a code; another on the same link is answered.
+        The peer sends without credit while the handler doesn't read. Only that stream is closed,
+        with an error code; another stream on the same link still gets its response.
         """
         pair.sidecar.on_stream(Reserve, hold)
         peer = await pair.fleet.raw_peer(pair.sidecar)
@@ -117,15 +117,15 @@
 
         pair.sidecar.on_notice(LoadReport, slow)
         link = await pair.link()
-        for number in range(2 * MAX_WAITING_NOTICES):
+        for number in range(2 * MAX_QUEUED_NOTICES):
             await link.notify(LoadReport(running=number))
-        await trio.sleep(2 * MAX_WAITING_NOTICES)
-        assert seen[-1] == 2 * MAX_WAITING_NOTICES - 1
-        assert len(seen) <= MAX_WAITING_NOTICES + 1
+        await trio.sleep(2 * MAX_QUEUED_NOTICES)
+        assert seen[-1] == 2 * MAX_QUEUED_NOTICES - 1
+        assert len(seen) <= MAX_QUEUED_NOTICES + 1
         assert "NoticeDropped" in events_of(pair.sidecar)
 
     async def test_peer_that_never_reads_is_cut(self, pair, events_of, autojump_clock):
-        """A peer sends pings and reads no answers, which would pile up without end."""
+        """A peer sends pings without reading the responses, which would be queued without bound."""
         peer = await pair.fleet.raw_peer(pair.sidecar)
         with pytest.raises(trio.BrokenResourceError):
             for _ in range(200):
@@ -136,7 +136,7 @@
 
 class TestStreams:
     async def test_late_message_of_a_closed_stream(self, pair, autojump_clock):
-        """A caller gave up; chunks for it were on their way. They reach nobody else's stream."""
+        """Late messages of a cancelled stream must not reach another stream."""
         peer = await pair.fleet.raw_peer(pair.sidecar)
         await peer.send((1, Query("r1")))
         await peer.read_until(StreamClosed)
@@ -145,8 +145,8 @@
         with trio.move_on_after(1):
             assert not await peer.read_until(QueryReply)
 
-    async def test_numbers_follow_the_first_sends(self, pair, autojump_clock):
-        """Streams are opened in one order and used in another: neither is taken for a late one."""
+    async def test_stream_ids_follow_the_first_sends(self, pair, autojump_clock):
+        """Streams used in a different order than opened must not be treated as late."""
         link = await pair.link()
         async with link.open_stream() as first, link.open_stream() as second:
             await second.send(Query("r2"))
@@ -176,11 +176,12 @@
 
 
 class TestCut:
-    async def test_cut_in_the_middle_of_an_answer(self, pair, autojump_clock):
-        """A network breaks half-way through an answer.
+    async def test_cut_in_the_middle_of_a_response(self, pair, autojump_clock):
+        """Guards against a partial response being treated as complete.
 
-        Both ends learn it at once: the caller still reads what had come and then `LinkCut`, never
-        an end; the sidecar's handler gets it too, so that it can keep or free what it holds.
+        The connection breaks in the middle of a response. The caller reads the received chunks and
+        then gets `LinkCut`, never an end; the sidecar's handler gets it too, so that it can keep
+        or free its resources.
         """
         seen = []
 
@@ -210,10 +211,11 @@
         assert not link.is_up and pair.entry.links() == []
         assert (await pair.link()) is not link
 
-    async def test_frozen_peer_is_found_in_time(self, pair, autojump_clock):
-        """A sidecar hangs with its connections open: nothing breaks, nothing comes.
+    async def test_frozen_peer_is_detected_in_time(self, pair, autojump_clock):
+        """Guards against callers that wait for their whole time limit on a frozen sidecar.
 
-        A caller would wait for its whole time limit. Interval and limit of the pings bound it.
+        The sidecar hangs with its connections open. Ping interval and ping time limit bound the
+        detection.
         """
         pair.sidecar.on_stream(Reserve, hold)
         link = await pair.link()
@@ -221,16 +223,16 @@
             await stream.send(Reserve("r1"))
             await trio.sleep(60)
             assert link.is_up
-            began_s = trio.current_time()
+            frozen_s = trio.current_time()
             pair.fleet.network.freeze(pair.sidecar.bound_address)
             with pytest.raises(LinkCut, match="no sign of life"), trio.fail_after(60):
                 await stream.receive()
-        assert trio.current_time() - began_s <= 5.0
+        assert trio.current_time() - frozen_s <= 5.0
         pair.fleet.network.thaw(pair.sidecar.bound_address)
         assert await (await pair.link()).call(Query("r2"))
 
-    async def test_full_pipe_to_a_frozen_peer(self, pair, autojump_clock):
-        """The peer hangs while bodies are sent to it: the writer is stuck and still gets cut."""
+    async def test_blocked_writer_to_a_frozen_peer_is_cut(self, pair, autojump_clock):
+        """The peer freezes during uploads: the link is cut although its writer is blocked."""
         pair.sidecar.on_stream(Reserve, hold)
         link = await pair.link()
         pair.fleet.network.freeze(pair.sidecar.bound_address)
@@ -250,11 +252,11 @@
                 for _ in range(10):
                     nursery.start_soon(expect_cut)
 
-    async def test_own_pause_does_not_cut_a_sound_link(self, pair, autojump_clock):
-        """A process is paused for a minute and wakes with all its timers due at once.
+    async def test_own_pause_does_not_cut_a_healthy_link(self, pair, autojump_clock):
+        """Guards against a paused process cutting all its links when it resumes.
 
-        The peer's answer to its ping lies unread in the socket. Cutting here would break every
-        request on every link of a process that is well again.
+        After a minute's pause all timers are due at once, while the peer's response to the ping is
+        still unread in the socket. A cut would fail every request on the link.
         """
         pair.fleet.network.latency_s = 0.1
         link = await pair.link()
@@ -275,7 +277,7 @@
         ids=["oversize", "huge", "empty", "garbage"],
     )
     async def test_bad_frame_cuts_the_link(self, pair, data, autojump_clock):
-        """The length is judged alone: no body of an oversize frame is waited for."""
+        """The length is checked first: the body of an oversize frame is never awaited."""
         peer = await pair.fleet.raw_peer(pair.sidecar)
         await peer.stream.send_all(data)
         with pytest.raises(LinkCut), trio.fail_after(1):
@@ -283,7 +285,7 @@
         assert pair.sidecar.links() == []
 
     @pytest.mark.parametrize("message", [Credit(1), StreamClosed()])
-    async def test_second_window_or_goodbye_cuts_the_link(self, pair, message, autojump_clock):
+    async def test_second_window_or_close_cuts_the_link(self, pair, message, autojump_clock):
         peer = await pair.fleet.raw_peer(pair.sidecar)
         await peer.send((0, Credit(1)), (0, message))
         with pytest.raises(LinkCut), trio.fail_after(1):
--- a/packages/wire/tests/test_peers.py
+++ b/packages/wire/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the links as other services use them."""
+"""Tests of the peer service as used by other services."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
         assert await back.call(Reserve("r2")) == End("r2")
         assert len(pair.sidecar.links()) == 1
 
-    async def test_notices_and_links_are_told(self, pair, autojump_clock):
+    async def test_notice_and_link_handlers_are_called(self, pair, autojump_clock):
         notices, links = [], []
         done = trio.Event()
 
         async def on_report(peer, report):
             notices.append((peer.vm, report))
             done.set()
-            raise PeerSettingsError("must not hurt the link")
+            raise PeerSettingsError("must not affect the link")
 
         async def on_link(link):
             links.append(link.peer.vm)
@@ -64,8 +64,8 @@
         assert await link.call(Query("r1"))
         assert links == ["entry-1"]
 
-    async def test_failing_handler_closes_its_stream_alone(self, pair, events_of, autojump_clock):
-        """A handler fails within a nursery of its own: its caller learns the code, others go on."""
+    async def test_failing_handler_closes_only_its_stream(self, pair, events_of, autojump_clock):
+        """A handler fails in its own nursery: the caller gets the code, other streams continue."""
 
         async def fail(stream, reserve):
             async with trio.open_nursery() as nursery:
@@ -87,10 +87,10 @@
         assert ended.value.peer_code == NoHandler.code
 
     async def test_waiters_share_a_failed_dial(self, pair, autojump_clock):
-        """A VM is dead; forty requests want it at once.
+        """Guards against waiters that dial a dead VM one after the other.
 
-        One after the other they would each wait the dial's time limit, the last for minutes.
-        The first asks and all get its outcome, within one time limit.
+        Each of forty requests would wait a full time limit, the last for minutes. They must share
+        the outcome of one dial within one time limit.
         """
         pair.fleet.network.freeze(pair.sidecar.bound_address)
         refusals = []
@@ -106,7 +106,7 @@
                     nursery.start_soon(ask)
         assert len(refusals) == 40
 
-    async def test_dial_outlives_the_caller_that_began_it(self, pair, autojump_clock):
+    async def test_dial_continues_when_its_first_caller_is_cancelled(self, pair, autojump_clock):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(pair.link)
             await trio.testing.wait_all_tasks_blocked()
@@ -114,8 +114,8 @@
         with trio.fail_after(0.1):
             assert (await pair.link()).is_up
 
-    async def test_crossing_dials(self, pair, autojump_clock):
-        """Two processes dial each other in the same instant: both use what they dialled."""
+    async def test_simultaneous_dials(self, pair, autojump_clock):
+        """Two processes dial each other at the same time: each uses the link it dialled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(pair.link)
             nursery.start_soon(pair.sidecar.link_to, "entry-1", pair.entry.bound_address)
@@ -130,7 +130,7 @@
         assert (await pair.link()).is_up
 
     async def test_address_of_another_vm(self, pair, autojump_clock):
-        """A VM was replaced and its address went to another, which would take the first's work."""
+        """An address was reassigned to another VM, which would get the work of the first."""
         with pytest.raises(LinkRefused, match="answered in place of"):
             await pair.entry.link_to("sidecar-9", pair.sidecar.bound_address)
         assert pair.entry.links() == []
@@ -150,11 +150,11 @@
 
 
 class TestStop:
-    async def test_stream_in_progress_ends_whole(self, pair, autojump_clock):
-        """A sidecar is stopped in the middle of an answer.
+    async def test_open_stream_completes(self, pair, autojump_clock):
+        """Guards against a graceful stop that truncates a response.
 
-        The caller gets every chunk and the end mark; a new stream is told that nothing has run.
-        A stop that cut the links at once would take the rest of the answer.
+        A sidecar is stopped in the middle of a response. The caller gets all chunks and the end; a
+        new stream is closed with a code which says that nothing was executed.
         """
         is_half = trio.Event()
 
@@ -181,16 +181,16 @@
         await trio.sleep(0.1)
         assert not link.is_up
 
-    async def test_stuck_stream_holds_the_stop_for_a_bounded_time(self, pair, autojump_clock):
+    async def test_hung_stream_delays_the_stop_for_a_bounded_time(self, pair, autojump_clock):
         pair.sidecar.on_stream(Reserve, lambda stream, message: trio.sleep_forever())
         stream = (await pair.link()).open_stream()
         await stream.send(Reserve("r1"))
         await trio.sleep(0.01)
-        began_s = trio.current_time()
+        stop_requested_s = trio.current_time()
         pair.sidecar.kernel.request_stop()
         with pytest.raises(LinkCut):
             await stream.receive()
-        assert trio.current_time() - began_s == pytest.approx(10.0, abs=0.1)
+        assert trio.current_time() - stop_requested_s == pytest.approx(10.0, abs=0.1)
 
 
 class TestTls:
@@ -225,8 +225,8 @@
         dial = await self.start_pair(fleet, files, changes)
         assert await (await dial()).call(Query("r1")) == QueryReply("r1")
 
-    async def test_stranger_is_refused(self, fleet, autojump_clock):
-        """A process knows the secret but has another authority's certificate, or none at all."""
+    async def test_peer_with_another_authority_is_refused(self, fleet, autojump_clock):
+        """The peer knows the secret but has a certificate of another authority, or none."""
         ours, theirs = self.changes(trustme.CA()), self.changes(trustme.CA())
         for changes in (theirs | {"tls_ca": ours["tls_ca"]}, theirs, {}):
             dial = await self.start_pair(fleet, changes, ours)
