--- a/packages/proxy/benchmarks/rate_shares.py
+++ b/packages/proxy/benchmarks/rate_shares.py
@@ -9,8 +9,8 @@
 import statistics
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.limit_news import LimitNews
-from sassafrastally.proxy.peer_messages import MOST_LIMITS, Hello, encode_hello
+from sassafrastally.proxy.limit_exchange import LimitReport
+from sassafrastally.proxy.peer_messages import MAX_LIMITS_SENT, Hello, encode_hello
 from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
 from sassafrastally.testing.backpressure_fleet import allowed, most_in_window
 from sassafrastally.testing.timing import median_us
@@ -102,10 +102,10 @@
     sent.note(0.0)
     room_us = median_us(lambda: sent.room_in_s(0.25, 1.0), 20_000)
     print(f"share among 340 entries {share_us:.0f} us once, room of a server {room_us:.2f} us")
-    limits = {n << 40: LimitNews(1.5, 0.25) for n in range(MOST_LIMITS)}
+    limits = {n << 40: LimitReport(1.5, 0.25) for n in range(MAX_LIMITS_SENT)}
     hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, {}, (), {}, {}, 0.0, 0.0, "here", 10)
     sizes = [len(encode_hello(one)) for one in (hello, hello._replace(limits=limits))]
-    print(f"datagram: {sizes[0]} bytes without, {sizes[1]} with {MOST_LIMITS} limits")
+    print(f"datagram: {sizes[0]} bytes without, {sizes[1]} with {MAX_LIMITS_SENT} limits")
 
 
 if __name__ == "__main__":
--- a/packages/proxy/src/sassafrastally/proxy/announcing.py
+++ b/packages/proxy/src/sassafrastally/proxy/address_registration.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Sequence
 
     from sassafrastally.core import Kernel, KvEntry, KvEvent
-    from sassafrastally.proxy.beliefs import Beliefs
+    from sassafrastally.proxy.cluster_state import ClusterState
     from sassafrastally.proxy.peer_table import PeerTable
     from sassafrastally.proxy.settings import ProxySettings
     from sassafrastally.proxy.store import Store
@@ -37,7 +37,7 @@
         The store.
     prefix
         Prefix of the entries' keys.
-    beliefs
+    cluster_state
         Local view of the store, for the log.
     table
         Receives the addresses.
@@ -49,7 +49,7 @@
         settings: ProxySettings,
         store: Store,
         prefix: str,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         table: PeerTable,
     ) -> None:
         self._kernel = kernel
@@ -57,7 +57,7 @@
         self._store = store
         self._prefix = prefix
         self._key = prefix + settings.host
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._table = table
         self._snapshot_read = trio.Event()
         self._lease_id = 0
@@ -68,7 +68,7 @@
         for entry in entries:
             if entry.key.startswith(self._prefix) and entry.value is not None:
                 host = entry.key.removeprefix(self._prefix)
-                self._table.know(host, entry.value.decode(errors="replace"), now_s)
+                self._table.add_address(host, entry.value.decode(errors="replace"), now_s)
 
     def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
         """Read the addresses from a full snapshot, this entry's own included.
@@ -112,7 +112,9 @@
         return lease_id
 
     def _note_store_lost(self, cause: Exception) -> None:
-        age_s = self._kernel.clock.now_s() - self._beliefs.confirmed_s
+        age_s = self._kernel.clock.now_s() - self._cluster_state.confirmed_s
         self._kernel.events.emit(
-            StoreLost("announce", str(cause), self._beliefs.revision, round(min(age_s, 1e6), 3))
+            StoreLost(
+                "announce", str(cause), self._cluster_state.revision, round(min(age_s, 1e6), 3)
+            )
         )
--- a/packages/proxy/src/sassafrastally/proxy/answer_services.py
+++ b/packages/proxy/src/sassafrastally/proxy/answer_services.py
@@ -9,12 +9,12 @@
     from sassafrastally.proxy.attempt import Attempts
     from sassafrastally.proxy.backpressure import Backpressure
     from sassafrastally.proxy.budget import RetryBudget
-    from sassafrastally.proxy.crashes import Crashes
+    from sassafrastally.proxy.crash_detector import CrashDetector
     from sassafrastally.proxy.dialect import Dialect
-    from sassafrastally.proxy.quarantining import Quarantining
+    from sassafrastally.proxy.fleet_view import FleetView
+    from sassafrastally.proxy.quarantine_service import QuarantineService
     from sassafrastally.proxy.reading_limits import KnownReadingLimits
     from sassafrastally.proxy.reservations import Reservations
-    from sassafrastally.proxy.sight import Sight
 
 
 class AnswerServices(NamedTuple):
@@ -28,13 +28,13 @@
     """Sends requests to backend servers."""
     budget: RetryBudget
     """Retry budget shared by all requests."""
-    sight: Sight
+    fleet_view: FleetView
     """Current view of the backend servers."""
     backpressure: Backpressure
     """Rate limits, cool-downs and departures that backend servers announce."""
-    quarantine: Quarantining
+    quarantine: QuarantineService
     """Requests that are no longer run because they crash servers."""
-    crashes: Crashes
+    crash_detector: CrashDetector
     """Checks whether servers that interrupted a response have crashed."""
     reservations: Reservations
     """Memory reservations on engines."""
--- a/packages/proxy/src/sassafrastally/proxy/answerer.py
+++ b/packages/proxy/src/sassafrastally/proxy/answerer.py
@@ -75,7 +75,7 @@
         """
         service = self._task.service
         time_left_s = self._task.time_left_s(self._clock.now_s())
-        available_in_s = self._services.sight.come_back_s(service, time_left_s)
+        available_in_s = self._services.fleet_view.come_back_s(service, time_left_s)
         if available_in_s is None:
             random_share = self._services.kernel.random.random()
             return LocalReply(refusal, detail, come_back_after_s(time_left_s, random_share))
@@ -160,7 +160,7 @@
         service = self._task.service
         now_s = self._clock.now_s()
         budget = self._services.budget
-        entries = self._services.sight.entries
+        entries = self._services.fleet_view.entries
         if budget.take(service, entries, now_s):
             return True
         self._emit(
@@ -192,13 +192,15 @@
         at_fault = [helper for helper in helpers if helper.address == cause.server_at_fault]
         for helper in at_fault:
             reason = "reported as the cause by another server"
-            self._services.sight.note_refusal(helper, reason, self._request_id, is_clear=True)
+            self._services.fleet_view.note_refusal(helper, reason, self._request_id, is_clear=True)
         if at_fault or not cause.is_servers_fault:
             return
         if cause.is_unreachable:
-            self._services.sight.note_failure(server, cause.detail, self._request_id, is_clear=True)
+            self._services.fleet_view.note_failure(
+                server, cause.detail, self._request_id, is_clear=True
+            )
         else:
-            self._services.sight.note_refusal(server, cause.detail, self._request_id)
+            self._services.fleet_view.note_refusal(server, cause.detail, self._request_id)
 
     async def _record_unknown(
         self, server: BackendServer, begin_s: float, cause: AttemptUnknown | str
@@ -206,16 +208,16 @@
         """Record an attempt that may have run and count it as a failure of its server."""
         detail = cause if isinstance(cause, str) else cause.detail
         self._record_abandoned(server, begin_s, detail)
-        sight, crashes = self._services.sight, self._services.crashes
+        fleet_view, crash_detector = self._services.fleet_view, self._services.crash_detector
         if isinstance(cause, str):
-            sight.note_failure(server, detail, self._request_id)
-            crashes.note_unanswered(server, self._task)
+            fleet_view.note_failure(server, detail, self._request_id)
+            crash_detector.note_unanswered(server, self._task)
         elif cause.is_silence:
-            sight.note_silence(server, self._request_id)
-            crashes.note_unanswered(server, self._task)
+            fleet_view.note_silence(server, self._request_id)
+            crash_detector.note_unanswered(server, self._task)
         else:
-            sight.note_failure(server, detail, self._request_id)
-            await crashes.note_broken_off(server, self._task, detail)
+            fleet_view.note_failure(server, detail, self._request_id)
+            await crash_detector.note_broken_off(server, self._task, detail)
 
     def _record_abandoned(self, server: BackendServer, begin_s: float, detail: str) -> None:
         """Record and log an attempt that may have run."""
@@ -254,8 +256,8 @@
                 placement.lanes if placement else "",
                 round(placement.predicted_s, 4) if placement else 0.0,
                 round(task.deadline_s - self._clock.now_s(), 4),
-                round(self._services.sight.beliefs_age_s, 4),
-                self._services.sight.entries - 1,
+                round(self._services.fleet_view.beliefs_age_s, 4),
+                self._services.fleet_view.entries - 1,
                 fingerprint_text(task.fingerprint),
             )
         )
--- a/packages/proxy/src/sassafrastally/proxy/answering.py
+++ b/packages/proxy/src/sassafrastally/proxy/answering.py
@@ -9,15 +9,15 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.callers import Callers
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
 from sassafrastally.proxy.log_events import ReadinessChanged
 from sassafrastally.proxy.metrics import metrics_page, start_metrics
 from sassafrastally.proxy.peer_messages import encode_delta
-from sassafrastally.proxy.quarantining import Quarantining
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reply import Reply
-from sassafrastally.proxy.sight import Sight
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -43,10 +43,10 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Start listening on the ports for readiness checks, peers and metrics."""
         self._backpressure = self.kernel.get("backpressure", Backpressure)
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._callers = self.kernel.get("callers", Callers)
-        self._sight = self.kernel.get("sight", Sight)
-        self._quarantine = self.kernel.get("quarantine", Quarantining)
+        self._fleet_view = self.kernel.get("sight", FleetView)
+        self._quarantine = self.kernel.get("quarantine", QuarantineService)
         start_metrics()
         host = self._settings.host
         ready = self._settings.readiness_address
@@ -64,7 +64,7 @@
         reason = "serving"
         if self._callers.is_stopping:
             reason = "stopping"
-        elif self._beliefs.configuration is None:
+        elif self._cluster_state.configuration is None:
             reason = "no configuration is known"
         is_ready = reason == "serving"
         if is_ready != self._was_ready:
@@ -76,25 +76,25 @@
         _, _, revision = target.partition("after=")
         if not revision.isdigit():
             return 400, b"no revision"
-        return 200, encode_delta(self._beliefs.delta_after(int(revision)))
+        return 200, encode_delta(self._cluster_state.delta_after(int(revision)))
 
     def _handle_metrics(self, _target: str) -> tuple[int, bytes]:
         return 200, metrics_page(self._gauges()).encode()
 
     def _gauges(self) -> dict[str, float]:
         now_s = self.kernel.clock.now_s()
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         return {
             "configuration_version": configuration.version if configuration else 0,
-            "store_revision": self._beliefs.revision,
-            "beliefs_age_seconds": now_s - self._beliefs.confirmed_s,
-            "store_age_seconds": now_s - self._beliefs.store_answered_s,
-            "backend_servers": self._beliefs.server_count(),
+            "store_revision": self._cluster_state.revision,
+            "beliefs_age_seconds": now_s - self._cluster_state.confirmed_s,
+            "store_age_seconds": now_s - self._cluster_state.store_answered_s,
+            "backend_servers": self._cluster_state.server_count(),
             "quarantined_requests": self._quarantine.count,
-            "suspected_servers": len(self._sight.suspicion.suspects(now_s)),
-            "peers": self._sight.entries - 1,
+            "suspected_servers": len(self._fleet_view.suspicion.suspects(now_s)),
+            "peers": self._fleet_view.entries - 1,
             "open_requests": self._callers.open_requests,
-            "attempts_in_progress": len(self._sight.ledger),
+            "attempts_in_progress": len(self._fleet_view.ledger),
             **self._backpressure.gauges(),
         }
 
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, ClassVar
 
 from sassafrastally.core import Service
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.cool_downs import CoolDowns
-from sassafrastally.proxy.leaving import DeclaredLeaving
+from sassafrastally.proxy.leaving_servers import DeclaredLeaving
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import (
     ServerCoolingDown,
@@ -32,7 +32,7 @@
 
     import trio
 
-    from sassafrastally.proxy.limit_news import LimitNews
+    from sassafrastally.proxy.limit_exchange import LimitReport
     from sassafrastally.proxy.model import BackendServer, ServerAsks
 
 ASSUMED_LIMIT_PER_S = 20.0
@@ -75,7 +75,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Resolve the services that provide the servers and the peers."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
         self._peers.limits = self
 
@@ -169,11 +169,11 @@
             service, first_s, own_per_s, time_left_s, self._now_s
         )
 
-    def news(self) -> Mapping[int, LimitNews]:
+    def limits_to_send(self) -> Mapping[int, LimitReport]:
         """Return the limits to send to peers, the latest first."""
-        return self._limits.news(self._now_s)
+        return self._limits.limits_to_send(self._now_s)
 
-    def take(self, news: Mapping[int, LimitNews], host: str) -> None:
+    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
         """Record the limits that a peer has reported."""
         for key, limit in news.items():
             change = self._limits.note_peer_limit(key, limit, self._now_s)
@@ -191,7 +191,7 @@
         if change is LimitChange.NOTHING:
             return
         server = next(
-            (one for one in self._beliefs.servers() if server_hash(one.life_id) == key), None
+            (one for one in self._cluster_state.servers() if server_hash(one.life_id) == key), None
         )
         if server is None:
             return
@@ -199,7 +199,7 @@
         if change is LimitChange.NEWS:
             self._log_limit(server, self._limits.of(key), source)
             if source == OWN_SOURCE:
-                self._peers.tell_at_once()
+                self._peers.send_now()
 
     def _log_limit(self, server: BackendServer, most_per_s: float | None, source: str) -> None:
         if most_per_s is None:
@@ -237,7 +237,7 @@
     def _note_leaving(self, server: BackendServer) -> None:
         if self._leaving.note(server.life_id, self._now_s):
             self.kernel.events.emit(ServerLeaving(server.server_id))
-            self._peers.tell_at_once()
+            self._peers.send_now()
 
     def _note_cool_down(self, server: BackendServer, for_s: float) -> None:
         if self._cool_downs.note(server.life_id, for_s, self._now_s):
--- a/packages/proxy/src/sassafrastally/proxy/callers.py
+++ b/packages/proxy/src/sassafrastally/proxy/callers.py
@@ -10,7 +10,7 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.attempt import Request
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.early_listener import BACKLOG
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
@@ -93,7 +93,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start accepting connections."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._path = self.kernel.get("path", RequestPath)
         nursery.start_soon(self._listen, [await self._listener()], nursery)
 
@@ -159,7 +159,7 @@
             await connection.close()
 
     def _limits(self) -> RequestLimits:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         return configuration.limits if configuration else DEFAULT_LIMITS
 
     async def _serve_request(self, connection: HttpStream) -> bool:
--- a/packages/proxy/src/sassafrastally/proxy/catching_up.py
+++ b/packages/proxy/src/sassafrastally/proxy/change_fetcher.py
@@ -22,8 +22,8 @@
     from collections.abc import Callable, Sequence
 
     from sassafrastally.core import Kernel
-    from sassafrastally.proxy.beliefs import Beliefs
     from sassafrastally.proxy.calls import CallClient
+    from sassafrastally.proxy.cluster_state import ClusterState
 
 CALL_TIMEOUT_S = 0.5
 """Idle timeout of a call; peers answer from memory. Each received chunk restarts it."""
@@ -48,7 +48,7 @@
     """A live peer that knows a newer revision."""
 
     host: str
-    is_near: bool
+    is_local: bool
     """Whether it is in the same data centre."""
     revision: int
     calls: CallClient
@@ -71,7 +71,7 @@
 
     def rank(source: Source) -> tuple[bool, bool, int]:
         has_failed = now_s - failed_s.get(source.host, float("-inf")) < FAILED_PEER_PAUSE_S
-        return has_failed, not source.is_near, -source.revision
+        return has_failed, not source.is_local, -source.revision
 
     return min(sources, key=rank, default=None)
 
@@ -83,7 +83,7 @@
     ----------
     kernel
         Clock, random source and log.
-    beliefs
+    cluster_state
         Receives the changes.
     sources
         Returns the live peers that know a newer revision.
@@ -94,12 +94,12 @@
     def __init__(
         self,
         kernel: Kernel,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         sources: Callable[[], Sequence[Source]],
         defers_to_relays: Callable[[], bool],
     ) -> None:
         self._kernel = kernel
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._sources = sources
         self._defers_to_relays = defers_to_relays
         self._failed_s: dict[str, float] = {}
@@ -124,15 +124,15 @@
             if source is None:
                 self._failed_s.clear()
                 return
-            if not source.is_near and not has_waited and self._defers_to_relays():
+            if not source.is_local and not has_waited and self._defers_to_relays():
                 has_waited = True
                 await trio.sleep(RELAYS_FIRST_S)
                 continue
             await self._fetch(source)
 
     async def _fetch(self, source: Source) -> None:
-        target = CHANGES_TARGET.format(revision=self._beliefs.revision)
-        configuration = self._beliefs.configuration
+        target = CHANGES_TARGET.format(revision=self._cluster_state.revision)
+        configuration = self._cluster_state.configuration
         try:
             status, body = await source.calls.exchange("GET", target, [], b"", CALL_TIMEOUT_S)
             if status != 200:
@@ -141,14 +141,14 @@
         except (AnswerLost, DocumentInvalid) as cause:
             self._failed_s[source.host] = self._kernel.clock.now_s()
             self._kernel.events.emit(
-                PeerFailed(source.host, self._beliefs.revision, source.revision, cause.detail)
+                PeerFailed(source.host, self._cluster_state.revision, source.revision, cause.detail)
             )
             await trio.sleep(FAILED_PEER_PAUSE_S * self._kernel.random.uniform(0.1, 0.3))
             return
         name = f"peer {source.host}"
         if delta.entries is not None:
-            self._beliefs.replace(Snapshot(delta.entries, delta.revision), name)
+            self._cluster_state.replace(Snapshot(delta.entries, delta.revision), name)
         else:
-            self._beliefs.apply(delta.events, delta.revision, name)
-        if self._beliefs.configuration is not configuration:
+            self._cluster_state.apply(delta.events, delta.revision, name)
+        if self._cluster_state.configuration is not configuration:
             await trio.sleep(CONFIGURATION_PAUSE_S)
--- a/packages/proxy/src/sassafrastally/proxy/beliefs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cluster_state.py
@@ -65,7 +65,7 @@
     """By service and data centre, for services whose data centres are separate pools."""
 
 
-class Beliefs(Service):
+class ClusterState(Service):
     """The configuration in force and the known backend servers."""
 
     name: ClassVar[str] = "beliefs"
--- a/packages/proxy/src/sassafrastally/proxy/crashes.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_detector.py
@@ -8,7 +8,7 @@
 import trio
 
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fingerprint import fingerprint_text
 from sassafrastally.proxy.log_events import ServerCrashed, ServerCrashPresumed
 from sassafrastally.proxy.metrics import SERVER_CRASHES
@@ -17,7 +17,7 @@
     from sassafrastally.core import Kernel
     from sassafrastally.proxy.liveness import Liveness
     from sassafrastally.proxy.model import BackendServer
-    from sassafrastally.proxy.quarantining import Quarantining
+    from sassafrastally.proxy.quarantine_service import QuarantineService
     from sassafrastally.proxy.task import RequestTask
 
 PROBE_WAIT_S = 0.15
@@ -42,7 +42,7 @@
     at_s: float
 
 
-class Crashes:
+class CrashDetector:
     """Detects and records server crashes in the background of requests.
 
     Parameters
@@ -62,15 +62,15 @@
         kernel: Kernel,
         nursery: trio.Nursery,
         liveness: Liveness,
-        quarantine: Quarantining,
+        quarantine: QuarantineService,
     ) -> None:
         self._kernel = kernel
         self._nursery = nursery
         self._liveness = liveness
         self._quarantine = quarantine
         self._backpressure = kernel.get("backpressure", Backpressure)
-        self._beliefs = kernel.get("beliefs", Beliefs)
-        self._beliefs.on_incarnation_ended = self._note_incarnation_ended
+        self._cluster_state = kernel.get("beliefs", ClusterState)
+        self._cluster_state.on_incarnation_ended = self._note_incarnation_ended
         self._unanswered: dict[str, deque[_Unanswered]] = {}
 
     async def note_broken_off(self, server: BackendServer, task: RequestTask, cause: str) -> None:
@@ -91,7 +91,7 @@
             await is_known.wait()
         if self._quarantine.crashes_under(task.fingerprint):
             # Waits until the entries have exchanged which of their requests ran on that server.
-            await trio.sleep(self._quarantine.news_age_s)
+            await trio.sleep(self._quarantine.update_age_s)
 
     def note_unanswered(self, server: BackendServer, task: RequestTask) -> None:
         """Record that an answer is missing or incomplete and that the server may have ended.
@@ -138,7 +138,7 @@
         """Return whether a server was leaving or draining; its end is planned then."""
         if self._backpressure.is_leaving(server):
             return True
-        known = self._beliefs.server(server.server_id)
+        known = self._cluster_state.server(server.server_id)
         return known is not None and known.life_id == server.life_id and known.is_draining
 
     def _note_crash(
--- a/packages/proxy/src/sassafrastally/proxy/crash_cases.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_records.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.quarantine_news import AnswerNews, CrashNews
+from sassafrastally.proxy.quarantine_exchange import AnswerReport, CrashReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -44,7 +44,7 @@
     """A server's crash."""
 
     at_s: float
-    heard_s: float
+    received_s: float
     """When this entry learned of the crash."""
     is_own: bool
     """Whether this entry has observed it itself."""
@@ -56,7 +56,7 @@
         return now_s - self.at_s < (PRESUMED_CRASH_KEPT_S if self.is_presumed else CRASH_KEPT_S)
 
 
-class CrashCases:
+class CrashRecords:
     """Crashes by the fingerprints of the requests that ran on the crashed servers."""
 
     def __init__(self) -> None:
@@ -140,10 +140,10 @@
             return False
         earlier_s = known[server].at_s if server in known else crash.at_s
         known[server] = crash._replace(at_s=min(earlier_s, crash.at_s))
-        self._note_news(crash.heard_s)
+        self._note_news(crash.received_s)
         own_answered_s = self._own_answered_s.get(fingerprint, NEVER_S)
-        if crash.heard_s - own_answered_s < CRASH_KEPT_S:
-            self.apply_answer(fingerprint, own_answered_s, crash.heard_s)
+        if crash.received_s - own_answered_s < CRASH_KEPT_S:
+            self.apply_answer(fingerprint, own_answered_s, crash.received_s)
         return True
 
     def note_own_answer(self, fingerprint: int, now_s: float) -> None:
@@ -153,14 +153,14 @@
         if len(self._own_answered_s) > MAX_ANSWERED:
             del self._own_answered_s[next(iter(self._own_answered_s))]
 
-    def apply_answer(self, fingerprint: int, at_s: float, heard_s: float) -> bool:
+    def apply_answer(self, fingerprint: int, at_s: float, received_s: float) -> bool:
         """Record an answer to a request with crashes; return whether it is the latest known."""
         if at_s <= self._answered_s.get(fingerprint, NEVER_S):
             return False
         self._answered_s[fingerprint] = at_s
         if len(self._answered_s) > MAX_CASES:
             del self._answered_s[next(iter(self._answered_s))]
-        self._note_news(heard_s)
+        self._note_news(received_s)
         return True
 
     def evict_excess(self, is_protected: Callable[[int], bool]) -> None:
@@ -184,9 +184,9 @@
             if not any(crash.counts(now_s) for crash in known.values()):
                 self._forget(fingerprint)
 
-    def crash_news(
+    def crashes_to_send(
         self, now_s: float, max_age_s: float, *, includes_peers: bool
-    ) -> tuple[CrashNews, ...]:
+    ) -> tuple[CrashReport, ...]:
         """Return the crashes to send: requests with the most crashes first, then the latest.
 
         Parameters
@@ -204,22 +204,22 @@
             (
                 len(known),
                 crash.at_s,
-                CrashNews(fingerprint, server, now_s - crash.at_s, crash.is_presumed),
+                CrashReport(fingerprint, server, now_s - crash.at_s, crash.is_presumed),
             )
             for fingerprint, known in self._crashes.items()
             for server, crash in known.items()
-            if now_s - crash.heard_s < max_age_s and (crash.is_own or includes_peers)
+            if now_s - crash.received_s < max_age_s and (crash.is_own or includes_peers)
         ]
         return tuple(news for _, _, news in sorted(found, reverse=True)[:MAX_CRASHES_SENT])
 
-    def answer_news(
+    def answers_to_send(
         self, now_s: float, max_age_s: float, *, includes_peers: bool
-    ) -> tuple[AnswerNews, ...]:
-        """Return the answers to send, the latest first; parameters as for `crash_news`."""
+    ) -> tuple[AnswerReport, ...]:
+        """Return the answers to send, the latest first; parameters as for `crashes_to_send`."""
         if now_s - self._latest_news_s >= max_age_s:
             return ()
         found = [
-            AnswerNews(fingerprint, now_s - at_s)
+            AnswerReport(fingerprint, now_s - at_s)
             for fingerprint, at_s in self._answered_s.items()
             if (includes_peers or fingerprint in self._own_answered_s)
             and now_s - self._latest_s(fingerprint, at_s) < max_age_s
@@ -229,11 +229,11 @@
     def _latest_s(self, fingerprint: int, answered_s: float) -> float:
         """Return the time of the latest answer, or when a crash was last learned of."""
         crashes = self._crashes.get(fingerprint, {}).values()
-        return max([answered_s, *(crash.heard_s for crash in crashes)])
+        return max([answered_s, *(crash.received_s for crash in crashes)])
 
-    def _note_news(self, heard_s: float) -> None:
+    def _note_news(self, received_s: float) -> None:
         self.version += 1
-        self._latest_news_s = max(self._latest_news_s, heard_s)
+        self._latest_news_s = max(self._latest_news_s, received_s)
 
     def _forget(self, fingerprint: int) -> None:
         del self._crashes[fingerprint]
--- a/packages/proxy/src/sassafrastally/proxy/daemon.py
+++ b/packages/proxy/src/sassafrastally/proxy/daemon.py
@@ -11,17 +11,17 @@
 from sassafrastally.proxy.answering import Answering
 from sassafrastally.proxy.attempt import Attempts
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.budget import RetryBudget
 from sassafrastally.proxy.callers import Callers
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.load import Ledger
 from sassafrastally.proxy.log_events import SettingsRejected, SettingsReloaded
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.pool import ConnectionPool
-from sassafrastally.proxy.quarantining import Quarantining
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reports import EngineReports
-from sassafrastally.proxy.sight import Sight
 from sassafrastally.proxy.watch import StoreWatch
 
 if TYPE_CHECKING:
@@ -45,12 +45,12 @@
     ledger = Ledger()
     budget = RetryBudget(bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s)
     pool = ConnectionPool()
-    kernel.add(Beliefs(dialect))
+    kernel.add(ClusterState(dialect))
     kernel.add(StoreWatch(store))
     kernel.add(Peers(settings, dialect, store, ledger))
     kernel.add(Backpressure(settings.host))
-    kernel.add(Sight(ledger))
-    kernel.add(Quarantining(dialect, store))
+    kernel.add(FleetView(ledger))
+    kernel.add(QuarantineService(dialect, store))
     kernel.add(EngineReports(settings, dialect))
     kernel.add(RequestPath(dialect, Attempts(dialect, pool), budget))
     kernel.add(Callers(settings, dialect, listener))
--- a/packages/proxy/src/sassafrastally/proxy/sight.py
+++ b/packages/proxy/src/sassafrastally/proxy/fleet_view.py
@@ -8,9 +8,9 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.lanes import ServerView
-from sassafrastally.proxy.leaving import LEAVING_S, LeavingServers, looks_leaving
+from sassafrastally.proxy.leaving_servers import LEAVING_S, LeavingServers, looks_leaving
 from sassafrastally.proxy.liveness import Liveness
 from sassafrastally.proxy.load import NO_WORK, Ledger, Work, WorkView, add_work, merge, server_hash
 from sassafrastally.proxy.log_events import ServerSuspected
@@ -28,7 +28,7 @@
     from sassafrastally.proxy.model import BackendServer, ServerLoad
 
 
-class Sight(Service):
+class FleetView(Service):
     """Combines this process's observations with those reported by its peers."""
 
     name: ClassVar[str] = "sight"
@@ -51,7 +51,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the services whose state is combined and register the callbacks."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
         self._backpressure = self.kernel.get("backpressure", Backpressure)
         self._peers.own_suspects = self._own_suspects
@@ -68,12 +68,12 @@
     @property
     def beliefs_age_s(self) -> float:
         """Time since the view of the servers was last confirmed."""
-        return self.kernel.clock.now_s() - self._beliefs.confirmed_s
+        return self.kernel.clock.now_s() - self._cluster_state.confirmed_s
 
     @property
-    def news_age_s(self) -> float:
+    def update_age_s(self) -> float:
         """Age of the latest updates from other entries."""
-        return self._peers.news_age_s
+        return self._peers.update_age_s
 
     def work(self) -> WorkView:
         """Return the work in progress of all entries."""
@@ -93,13 +93,13 @@
         avoid
             Servers to exclude, since they were already tried for this request.
         """
-        return self._views(self._beliefs.servers_of(service), avoid)
+        return self._views(self._cluster_state.servers_of(service), avoid)
 
-    def near_views(self, service: str, avoid: set[str]) -> list[ServerView]:
+    def local_views(self, service: str, avoid: set[str]) -> list[ServerView]:
         """Return the own data centre's servers as in `views`; none if they aren't preferred."""
         if not self.is_divided(service):
             return []
-        pool = self._beliefs.pool(service, self.kernel.data_centre)
+        pool = self._cluster_state.pool(service, self.kernel.data_centre)
         return self._views(pool, avoid) if pool else []
 
     def is_divided(self, service: str) -> bool:
@@ -108,7 +108,7 @@
         Without relays, every entry receives updates from all others directly. Load data is then
         equally fresh for all engines, and choosing among all of them is better.
         """
-        return self._peers.hears_sums() and self._beliefs.is_divided(service)
+        return self._peers.receives_sums() and self._cluster_state.is_divided(service)
 
     def _views(self, servers: Sequence[BackendServer], avoid: set[str]) -> list[ServerView]:
         now_s = self.kernel.clock.now_s()
@@ -135,7 +135,7 @@
 
         ``None`` if some server accepts one, or if the time is unknown.
         """
-        servers = self._beliefs.servers_of(service)
+        servers = self._cluster_state.servers_of(service)
         return self._backpressure.come_back_s(service, servers, time_left_s)
 
     def _servers_to_avoid(self, now_s: float) -> set[str | int]:
@@ -148,7 +148,7 @@
         return {
             **self._slowness.slow_servers(now_s),
             **self.suspicion.suspects(now_s),
-            **self._leaving.left_alone(now_s, self._beliefs.confirmed_s),
+            **self._leaving.left_alone(now_s, self._cluster_state.confirmed_s),
             **self._backpressure.leaving(),
         }
 
@@ -157,7 +157,7 @@
         from_peers = self._peers.paces()
         reported = {
             server.life_id: from_peers[key]
-            for server in (self._beliefs.servers() if from_peers else ())
+            for server in (self._cluster_state.servers() if from_peers else ())
             if (key := server_hash(server.life_id)) in from_peers
         }
         return {**reported, **self._paces.slow(self.kernel.clock.now_s())}
@@ -179,7 +179,7 @@
 
     def forget_gone(self) -> None:
         """Discard the state of servers that no longer exist."""
-        known = {server.life_id for server in self._beliefs.servers()}
+        known = {server.life_id for server in self._cluster_state.servers()}
         self.suspicion.forget_gone(known)
         self._slowness.forget_gone(known)
         self._paces.forget_gone(known)
@@ -215,7 +215,7 @@
         now_s = self.kernel.clock.now_s()
         if self._work_at(server.life_id, now_s).reading_requests:
             return  # Prefill explains the delay.
-        servers = len(self._beliefs.servers_of(server.service))
+        servers = len(self._cluster_state.servers_of(server.service))
         if not self._slowness.note_slow(server.life_id, servers, now_s):
             return
         SUSPICIONS.add(1)
@@ -296,7 +296,7 @@
             self.request_report(server, request_id)
 
     def _has_engine(self, service: str) -> bool:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         known = configuration.services.get(service) if configuration else None
         return known is not None and known.engine is not None
 
--- a/packages/proxy/src/sassafrastally/proxy/generation.py
+++ b/packages/proxy/src/sassafrastally/proxy/generation.py
@@ -103,39 +103,40 @@
     def _local_reply(self, detail: str) -> LocalReply:
         if self.progress.may_have_run:
             return LocalReply(MAY_HAVE_RUN, detail)
-        if not self._services.sight.views(self._task.service, set()):
+        if not self._services.fleet_view.views(self._task.service, set()):
             return self._reply_not_run(NO_SERVER, f"service {self._task.service}")
         return self._reply_not_run(TURNED_AWAY if self.progress.attempts else NO_ROOM, detail)
 
     def _load_summary(self) -> str:
         """Return a summary of the engines' load for the log and the caller."""
-        views = self._services.sight.views(self._task.service, self.progress.tried)
+        views = self._services.fleet_view.views(self._task.service, self.progress.tried)
         requests = sum(view.work.requests for view in views)
         reading_s = max((view.work.reading_ms for view in views), default=0.0) / 1000
         return (
             f"{len(views)} engines with {self._figures.slots} slots, {requests} requests, "
-            f"up to {reading_s:.1f} s of reading, {self._services.sight.entries - 1} peers heard, "
-            f"servers confirmed {self._services.sight.beliefs_age_s:.1f} s ago"
+            f"up to {reading_s:.1f} s of reading, "
+            f"{self._services.fleet_view.entries - 1} peers heard, "
+            f"servers confirmed {self._services.fleet_view.beliefs_age_s:.1f} s ago"
         )
 
     def _place(self) -> Placement | None:
         service, tried = self._task.service, self.progress.tried
         if self._lane is Lane.SHORT and self._is_suspect():
-            sight = self._services.sight
-            views = sight.near_views(service, tried) or sight.views(service, tried)
+            fleet_view = self._services.fleet_view
+            views = fleet_view.local_views(service, tried) or fleet_view.views(service, tried)
             plan = self._place_among(self._isolate(views))
             if plan is not None:
                 return plan
         if self._lane is Lane.SHORT and (
-            near_views := self._services.sight.near_views(service, tried)
+            local_views := self._services.fleet_view.local_views(service, tried)
         ):
-            plan = self._place_among(near_views)
+            plan = self._place_among(local_views)
             if stays_near(plan, self._goal_s()):
                 return plan
-        return self._place_among(self._services.sight.views(service, tried))
+        return self._place_among(self._services.fleet_view.views(service, tried))
 
     def _place_among(self, views: Sequence[ServerView]) -> Placement | None:
-        sight = self._services.sight
+        fleet_view = self._services.fleet_view
         return place_request(
             views,
             self._lane,
@@ -143,8 +144,8 @@
             self._goal_s(),
             self._figures,
             self._limits,
-            Scatter(self._services.kernel.random, sight.news_age_s),
-            by_centre=sight.is_divided(self._task.service),
+            Scatter(self._services.kernel.random, fleet_view.update_age_s),
+            by_centre=fleet_view.is_divided(self._task.service),
         )
 
     def _is_new(self) -> bool:
@@ -173,7 +174,7 @@
             due_s,
             is_suspect=self._is_suspect(),
         )
-        self._services.sight.ledger.add(flight, begin_s)
+        self._services.fleet_view.ledger.add(flight, begin_s)
         waiting = trio.CancelScope(
             deadline=trio.current_time() + self._first_event_timeout_s(placement)
         )
@@ -195,7 +196,7 @@
             else:
                 await self._record_unknown(server, begin_s, cause)
         finally:
-            self._services.sight.ledger.remove(flight, self._clock.now_s())
+            self._services.fleet_view.ledger.remove(flight, self._clock.now_s())
         return False
 
     async def _exchange(
@@ -205,7 +206,7 @@
         helpers = tuple(Helper(server) for server in placement.helpers)
         terms = self._attempt_terms(placement.server, attempt.begin_s, self._last_event_id, helpers)
         with ExitStack() as until_begun:
-            until_begun.enter_context(self._services.sight.waiting_attempts.hold(attempt))
+            until_begun.enter_context(self._services.fleet_view.waiting_attempts.hold(attempt))
             async with (
                 self._services.reservations.hold(placement.holdings[1:]) as reserved,
                 self._services.attempts.send(
@@ -217,7 +218,7 @@
             ):
                 until_begun.close()
                 attempt.moving_reason = ""  # The response began before the wait was cancelled.
-                self._services.sight.note_load(placement.server.life_id, answer.facts.load)
+                self._services.fleet_view.note_load(placement.server.life_id, answer.facts.load)
                 if answer.status >= 300:
                     return await self._forward_failure(placement, answer)
                 await self._forward_stream(placement, flight, answer)
@@ -298,18 +299,18 @@
             # says nothing about the engine.
             waited_s = self._clock.now_s() - waiting_since_s
             if not flight.is_reading:
-                self._services.sight.note_event(
+                self._services.fleet_view.note_event(
                     placement.server, waited_s, slow_event_s, self._request_id
                 )
             for event in splitter.feed(chunk):
                 now_s = self._clock.now_s()
-                self._services.sight.ledger.first_event(flight, now_s)
+                self._services.fleet_view.ledger.first_event(flight, now_s)
                 await self._forward_event(event, now_s)
             waiting_since_s = self._clock.now_s()
         if splitter.rest:
             await self._reply.send(splitter.rest)
         await self._reply.end()
-        self._services.sight.note_success(placement.server.life_id)
+        self._services.fleet_view.note_success(placement.server.life_id)
         self._record_answered(placement, answer.status)
 
     async def _forward_event(self, event: StreamEvent, now_s: float) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -65,12 +65,12 @@
     """
 
     random: Random
-    news_age_s: float = 0.0
+    update_age_s: float = 0.0
     """Age of the latest load report of other entries."""
 
     def unseen_requests(self, short_requests: int) -> float:
         """Return the estimated short requests that others have started since their last reports."""
-        return short_requests * self.news_age_s / SHORT_REQUEST_DURATION_S
+        return short_requests * self.update_age_s / SHORT_REQUEST_DURATION_S
 
 
 def lane_of(
--- a/packages/proxy/src/sassafrastally/proxy/leaving.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
@@ -34,7 +34,7 @@
 requests aren't known here yet."""
 
 
-def looks_leaving(work: Work, slots: int, news_age_s: float) -> bool:
+def looks_leaving(work: Work, slots: int, update_age_s: float) -> bool:
     """Return whether a refusal most likely means that the server is leaving.
 
     Parameters
@@ -43,11 +43,11 @@
         Known work at the server.
     slots
         Number of requests that it runs concurrently.
-    news_age_s
+    update_age_s
         Age of the view of the servers.
     """
     is_loaded = work.requests + work.reading_requests >= FULL_SHARE * slots
-    return news_age_s > NEWS_AGE_S and not is_loaded
+    return update_age_s > NEWS_AGE_S and not is_loaded
 
 
 class LeavingServers:
--- a/packages/proxy/src/sassafrastally/proxy/limit_news.py
+++ b/packages/proxy/src/sassafrastally/proxy/limit_exchange.py
@@ -8,7 +8,7 @@
     from collections.abc import Mapping
 
 
-class LimitNews(NamedTuple):
+class LimitReport(NamedTuple):
     """Latest rate limit that a server announced."""
 
     most_per_s: float | None
@@ -19,11 +19,11 @@
 class LimitExchange(Protocol):
     """Source and receiver of server limits for the datagram exchange."""
 
-    def news(self) -> Mapping[int, LimitNews]:
+    def limits_to_send(self) -> Mapping[int, LimitReport]:
         """Return the limits to send, by hash of the server's incarnation, the latest first."""
         ...
 
-    def take(self, news: Mapping[int, LimitNews], host: str) -> None:
+    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
         """Apply the limits received from a peer."""
         ...
 
@@ -31,9 +31,9 @@
 class NullLimitExchange:
     """Exchange that sends no limits and ignores received ones; used as the default."""
 
-    def news(self) -> Mapping[int, LimitNews]:
+    def limits_to_send(self) -> Mapping[int, LimitReport]:
         """Return no limits."""
         return {}
 
-    def take(self, news: Mapping[int, LimitNews], host: str) -> None:
+    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
         """Ignore received limits."""
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -9,15 +9,16 @@
 from sassafrastally.core import Service
 from sassafrastally.proxy.answer_services import AnswerServices
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.crashes import Crashes
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.crash_detector import CrashDetector
 from sassafrastally.proxy.fingerprint import fingerprint_text, request_fingerprint
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.generation import Generation
 from sassafrastally.proxy.log_events import CallerLeft, RequestFailed, RequestRefused, StreamBroken
 from sassafrastally.proxy.metrics import REFUSALS, REQUESTS
 from sassafrastally.proxy.model import RouteKind
 from sassafrastally.proxy.plain import PlainRequest
-from sassafrastally.proxy.quarantining import Quarantining
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reading_limits import KnownReadingLimits
 from sassafrastally.proxy.refusals import (
     MAY_HAVE_RUN,
@@ -31,7 +32,6 @@
 )
 from sassafrastally.proxy.reservations import Reservations
 from sassafrastally.proxy.routes import UnknownKey, choose_service, find_customer
-from sassafrastally.proxy.sight import Sight
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
 
 if TYPE_CHECKING:
@@ -83,22 +83,22 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the required services and start the cleanup task."""
         self._started_s = self.kernel.clock.now_s()
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
-        sight = self.kernel.get("sight", Sight)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
+        fleet_view = self.kernel.get("sight", FleetView)
         backpressure = self.kernel.get("backpressure", Backpressure)
-        quarantine = self.kernel.get("quarantine", Quarantining)
+        quarantine = self.kernel.get("quarantine", QuarantineService)
         self._attempts.on_answer = backpressure.note_answer
-        quarantine.on_verdict = sight.waiting_attempts.give_up_request
+        quarantine.on_verdict = fleet_view.waiting_attempts.give_up_request
         self.services = AnswerServices(
             self.kernel,
             self._dialect,
             self._attempts,
             self._budget,
-            sight,
+            fleet_view,
             backpressure,
             quarantine,
-            Crashes(self.kernel, nursery, sight.liveness, quarantine),
-            Reservations(self._dialect, self.kernel, self._beliefs, backpressure, nursery),
+            CrashDetector(self.kernel, nursery, fleet_view.liveness, quarantine),
+            Reservations(self._dialect, self.kernel, self._cluster_state, backpressure, nursery),
             KnownReadingLimits(),
         )
         nursery.start_soon(self._clean_up)
@@ -108,23 +108,23 @@
             await trio.sleep(CLEANUP_INTERVAL_S)
             await self._attempts.pool.close_idle()
             await self.services.reservations.forget_gone(
-                {server.address for server in self._beliefs.servers()}
+                {server.address for server in self._cluster_state.servers()}
             )
-            self.services.sight.forget_gone()
+            self.services.fleet_view.forget_gone()
 
     async def answer(self, request: Request, reply: Reply) -> None:
         """Handle a request; raises `ConnectionLost` if the caller can't be reached."""
-        if self._beliefs.configuration is None:
+        if self._cluster_state.configuration is None:
             with trio.move_on_at(self._started_s + CONFIGURATION_WAIT_S):
-                await self._beliefs.configuration_known.wait()
-        configuration = self._beliefs.configuration
+                await self._cluster_state.configuration_known.wait()
+        configuration = self._cluster_state.configuration
         if configuration is None:
             await self._answer_locally(
                 request, reply, LocalReply(NO_CONFIGURATION, "", NO_CONFIGURATION_RETRY_AFTER_S)
             )
             return
         path = request.target.split(b"?", 1)[0].decode("latin-1")
-        route = self._beliefs.routes.find(request.facts.host, path)
+        route = self._cluster_state.routes.find(request.facts.host, path)
         if route is None:
             detail = f"version {configuration.version}"
             await self._answer_locally(request, reply, LocalReply(NO_ROUTE, detail))
@@ -186,7 +186,7 @@
     def _record_unanswered(self, task: RequestTask, progress: Progress) -> None:
         """Record an attempt in flight when the caller disconnected or the deadline passed."""
         if progress.pending is not None:
-            self.services.crashes.note_unanswered(progress.pending, task)
+            self.services.crash_detector.note_unanswered(progress.pending, task)
 
     def _record_broken_stream(
         self, task: RequestTask, progress: Progress, local_reply: LocalReply
--- a/packages/proxy/src/sassafrastally/proxy/peer_messages.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_messages.py
@@ -17,18 +17,18 @@
 
 # Runtime import: KvEntry and KvEvent are field types of named tuples.
 from sassafrastally.core import KvEntry, KvEvent
-from sassafrastally.proxy.beliefs import Delta
+from sassafrastally.proxy.cluster_state import Delta
 from sassafrastally.proxy.dialect import DocumentInvalid
-from sassafrastally.proxy.limit_news import LimitNews
+from sassafrastally.proxy.limit_exchange import LimitReport
 from sassafrastally.proxy.load import Work
-from sassafrastally.proxy.quarantine_news import (
-    NO_NEWS,
-    AnswerNews,
-    CrashNews,
-    QuarantineNews,
-    VerdictNews,
+from sassafrastally.proxy.quarantine_exchange import (
+    EMPTY_REPORT,
+    AnswerReport,
+    CrashReport,
+    QuarantineReport,
+    VerdictReport,
 )
-from sassafrastally.proxy.watch_duty import OtherEntry
+from sassafrastally.proxy.store_watchers import WatchCandidate
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -37,14 +37,14 @@
 
 SCHEMA_FILE = Path(__file__).with_name("peers.capnp")
 
-MOST_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 """Datagrams are smaller than this, below a link's usual MTU. About 90 usual loads fit; if there are
 more, the smallest are left out."""
 
 MAX_FLAGGED_SERVERS = 45
 """Maximum number of suspects, and of slow engines, in one datagram; the rest is for loads."""
 
-MOST_LIMITS = 20
+MAX_LIMITS_SENT = 20
 """Maximum number of server limits in one datagram; an entry learns the others from the servers'
 answers."""
 
@@ -85,11 +85,11 @@
     entries: int = 0
     """0 if the message describes the sender alone. Otherwise loads, suspects and paces are
     aggregated over this many entries of its data centre, and `peers` lists them."""
-    watchers: tuple[OtherEntry, ...] = ()
+    watchers: tuple[WatchCandidate, ...] = ()
     """In a sum: the entries of the data centre that may watch the store for all."""
-    quarantine: QuarantineNews = NO_NEWS
+    quarantine: QuarantineReport = EMPTY_REPORT
     """Updates on requests during which servers crash."""
-    limits: Mapping[int, LimitNews] = MappingProxyType({})
+    limits: Mapping[int, LimitReport] = MappingProxyType({})
     """Request rate limits that servers announce, by hash of the id, the latest first."""
 
 
@@ -104,10 +104,10 @@
     loads = sorted(hello.loads.items(), key=lambda item: (-item[1].reading_ms, -item[1].requests))
     while True:
         data = _encode(hello, loads)
-        if len(data) < MOST_BYTES:
+        if len(data) < MAX_DATAGRAM_BYTES:
             return data
         if loads:
-            del loads[min(len(loads) - 1, len(loads) * MOST_BYTES // len(data)) :]
+            del loads[min(len(loads) - 1, len(loads) * MAX_DATAGRAM_BYTES // len(data)) :]
         elif hello.suspects or hello.paces or hello.limits:
             hello = hello._replace(
                 suspects=_first_half(hello.suspects),
@@ -175,7 +175,9 @@
             {"request": answer.fingerprint, "ageMs": _to_thousandths(answer.age_s)}
             for answer in hello.quarantine.answers
         ],
-        limits=[_encode_limit(key, news) for key, news in list(hello.limits.items())[:MOST_LIMITS]],
+        limits=[
+            _encode_limit(key, news) for key, news in list(hello.limits.items())[:MAX_LIMITS_SENT]
+        ],
     )
     data: bytes = message.to_bytes_packed()
     return data
@@ -202,7 +204,7 @@
             link_mbps=message.linkMbps,
             entries=message.entries,
             watchers=tuple(
-                OtherEntry(watcher.host, watcher.storeAgeMs / 1000, watcher.linkMbps)
+                WatchCandidate(watcher.host, watcher.storeAgeMs / 1000, watcher.linkMbps)
                 for watcher in message.watchers
             ),
             quarantine=_decode_quarantine(message),
@@ -212,23 +214,23 @@
         raise DocumentInvalid(f"invalid datagram from a peer: {cause!r}") from cause
 
 
-def _decode_quarantine(message: Any) -> QuarantineNews:
-    return QuarantineNews(
+def _decode_quarantine(message: Any) -> QuarantineReport:
+    return QuarantineReport(
         crashes=tuple(
-            CrashNews(crash.request, crash.server, crash.ageMs / 1000, crash.isPresumed)
+            CrashReport(crash.request, crash.server, crash.ageMs / 1000, crash.isPresumed)
             for crash in message.crashes
         ),
         verdicts=tuple(
-            VerdictNews(verdict.request, verdict.leftMs / 1000, verdict.crashes)
+            VerdictReport(verdict.request, verdict.leftMs / 1000, verdict.crashes)
             for verdict in message.verdicts
         ),
         answers=tuple(
-            AnswerNews(answer.request, answer.ageMs / 1000) for answer in message.answers
+            AnswerReport(answer.request, answer.ageMs / 1000) for answer in message.answers
         ),
     )
 
 
-def _encode_limit(key: int, news: LimitNews) -> dict[str, int | bool]:
+def _encode_limit(key: int, news: LimitReport) -> dict[str, int | bool]:
     return {
         "server": key,
         "milliPerSecond": _to_thousandths(news.most_per_s or 0.0),
@@ -237,9 +239,9 @@
     }
 
 
-def _decode_limit(limit: Any) -> LimitNews:
+def _decode_limit(limit: Any) -> LimitReport:
     most_per_s = None if limit.isEnded else limit.milliPerSecond / 1000
-    return LimitNews(most_per_s, limit.ageMs / 1000)
+    return LimitReport(most_per_s, limit.ageMs / 1000)
 
 
 def _to_thousandths(figure: float) -> int:
--- a/packages/proxy/src/sassafrastally/proxy/peer_table.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_table.py
@@ -10,8 +10,14 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sassafrastally.proxy.load import add_work
-from sassafrastally.proxy.sharing import PROBERS, RELAYS, Member, is_first, tells_all
-from sassafrastally.proxy.watch_duty import OtherEntry, watchers
+from sassafrastally.proxy.sharing import (
+    RELAYS,
+    STORE_PROBERS,
+    Member,
+    is_ranked_first,
+    reports_directly,
+)
+from sassafrastally.proxy.store_watchers import WatchCandidate, watchers
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping
@@ -30,7 +36,7 @@
 Longer than its state takes to time out: others must not take over its share of the request rate
 while it may still send."""
 
-SUM_WAY_S = 0.5
+RELAY_DELAY_S = 0.5
 """Additional delay of an entry's state that arrives with the sum of its data centre: two of its
 datagrams and one sum may be in transit."""
 
@@ -44,7 +50,7 @@
         """Empty until known."""
         self.address_seen_s = address_seen_s
         """When its address last appeared in a datagram or in the store."""
-        self.heard_s = float("-inf")
+        self.received_s = float("-inf")
         """When its last datagram arrived."""
         self.hello: Hello | None = None
 
@@ -53,15 +59,15 @@
     """Sum received from a relay of a data centre."""
 
     hello: Hello
-    heard_s: float
+    received_s: float
 
 
 class Receivers(NamedTuple):
     """Destinations of datagrams."""
 
-    own: tuple[str, ...]
+    own_state_receivers: tuple[str, ...]
     """Hosts that get this entry's own state."""
-    of_sum: tuple[str, ...]
+    sum_receivers: tuple[str, ...]
     """Hosts that get the sum of its data centre; empty unless this entry is a relay."""
 
 
@@ -82,7 +88,7 @@
         self._peers: dict[str, Peer] = {}
         self._sums: dict[tuple[str, str], DataCentreSum] = {}
 
-    def know(self, host: str, data_centre: str, now_s: float) -> Peer | None:
+    def add_address(self, host: str, data_centre: str, now_s: float) -> Peer | None:
         """Add or refresh an entry's address; return its state, ``None`` for this entry itself."""
         if host == self._own.host or not host:
             return None
@@ -93,21 +99,21 @@
         peer.address_seen_s = now_s
         return peer
 
-    def take(self, hello: Hello, now_s: float) -> bool:
+    def apply(self, hello: Hello, now_s: float) -> bool:
         """Apply a datagram; return whether it is newer than what is known."""
-        peer = self.know(hello.host, hello.data_centre, now_s)
+        peer = self.add_address(hello.host, hello.data_centre, now_s)
         if peer is None:
             return False
         if not hello.entries:
             for host in hello.peers:
-                self.know(host, "", now_s)
+                self.add_address(host, "", now_s)
             if _is_stale(peer.hello, hello):
                 return False
             peer.hello = hello
-            peer.heard_s = now_s
+            peer.received_s = now_s
             return True
         for host in hello.peers:
-            self.know(host, hello.data_centre, now_s)
+            self.add_address(host, hello.data_centre, now_s)
         key = (hello.data_centre, hello.host)
         known = self._sums.get(key)
         if known and _is_stale(known.hello, hello):
@@ -123,12 +129,12 @@
     def silent_s(self, host: str, now_s: float) -> float:
         """Return the time since an entry's last datagram."""
         peer = self._peers.get(host)
-        return now_s - peer.heard_s if peer else float("inf")
+        return now_s - peer.received_s if peer else float("inf")
 
     def live(self, now_s: float) -> list[Peer]:
         """Return the entries whose own datagrams arrive."""
         oldest_s = now_s - PEER_TIMEOUT_S
-        return [peer for peer in self._peers.values() if peer.heard_s > oldest_s]
+        return [peer for peer in self._peers.values() if peer.received_s > oldest_s]
 
     def members(self, now_s: float) -> set[str]:
         """Return the other entries of all data centres that may send requests to servers."""
@@ -136,7 +142,7 @@
         return {
             peer.host
             for peer in self._peers.values()
-            if max(peer.heard_s, peer.address_seen_s) > oldest_s
+            if max(peer.received_s, peer.address_seen_s) > oldest_s
             and not (peer.hello and peer.hello.is_stopping)
         }
 
@@ -152,14 +158,14 @@
         live = {peer.host for peer in self.live(now_s)}
         noted.difference_update(live)
         new = [
-            (peer.host, now_s - peer.heard_s)
+            (peer.host, now_s - peer.received_s)
             for peer in self._peers.values()
             if peer.hello and peer.host not in live and peer.host not in noted
         ]
         noted.update(host for host, _ in new)
         return new
 
-    def near(self, now_s: float) -> list[Peer]:
+    def local_peers(self, now_s: float) -> list[Peer]:
         """Return the live entries of the own data centre."""
         return [peer for peer in self.live(now_s) if peer.data_centre == self._data_centre]
 
@@ -167,11 +173,11 @@
         """Return each other data centre's sum; with several, the one over the most entries."""
         best: dict[str, DataCentreSum] = {}
         for (data_centre, _), received in self._sums.items():
-            if now_s - received.heard_s >= PEER_TIMEOUT_S or data_centre == self._data_centre:
+            if now_s - received.received_s >= PEER_TIMEOUT_S or data_centre == self._data_centre:
                 continue
             known = best.get(data_centre)
-            rank = (received.hello.entries, received.heard_s)
-            if known is None or rank > (known.hello.entries, known.heard_s):
+            rank = (received.hello.entries, received.received_s)
+            if known is None or rank > (known.hello.entries, known.received_s):
                 best[data_centre] = received
         return best
 
@@ -183,12 +189,12 @@
     def effective_messages(self, now_s: float) -> list[tuple[Hello, float]]:
         """Return the messages that count, with their ages: sums and individual entries' own."""
         single = [
-            (peer.hello, now_s - peer.heard_s)
+            (peer.hello, now_s - peer.received_s)
             for peer in self._individual_peers(now_s)
             if peer.hello
         ]
         return single + [
-            (received.hello, now_s - received.heard_s) for received in self.sums(now_s).values()
+            (received.hello, now_s - received.received_s) for received in self.sums(now_s).values()
         ]
 
     def loads(self, now_s: float) -> list[Mapping[int, Work]]:
@@ -207,17 +213,19 @@
         """Return the slow engines reported by peers: pace by hash of the id."""
         return _max_by_key(hello.paces for hello, _ in self.effective_messages(now_s))
 
-    def others_at_the_store(self, now_s: float) -> list[OtherEntry]:
+    def watch_candidates(self, now_s: float) -> list[WatchCandidate]:
         """Return the other entries that may watch the store."""
-        found: list[OtherEntry] = []
+        found: list[WatchCandidate] = []
         for hello, age_s in self.effective_messages(now_s):
             if hello.entries:
                 found += [
-                    watcher._replace(store_age_s=watcher.store_age_s + age_s, way_s=SUM_WAY_S)
+                    watcher._replace(
+                        store_age_s=watcher.store_age_s + age_s, relay_delay_s=RELAY_DELAY_S
+                    )
                     for watcher in hello.watchers
                 ]
             elif not hello.is_stopping:
-                found.append(OtherEntry(hello.host, hello.store_age_s + age_s, hello.link_mbps))
+                found.append(WatchCandidate(hello.host, hello.store_age_s + age_s, hello.link_mbps))
         return found
 
     def live_hosts_in(self, data_centre: str, now_s: float) -> list[str] | None:
@@ -233,8 +241,8 @@
 
     def is_relay(self, now_s: float) -> bool:
         """Return whether this entry sends the sum of its data centre."""
-        near = map(_member, self.near(now_s))
-        return self.has_relay(now_s) and is_first(self._own, near, RELAYS)
+        near = map(_member, self.local_peers(now_s))
+        return self.has_relay(now_s) and is_ranked_first(self._own, near, RELAYS)
 
     def has_known_peers(self) -> bool:
         """Return whether the address of another entry is known."""
@@ -244,11 +252,11 @@
         """Return whether this entry is one of the few that retry an unavailable store often."""
         if self.has_relay(now_s):
             return self.is_relay(now_s)
-        return is_first(self._own, map(_member, self.live(now_s)), PROBERS)
+        return is_ranked_first(self._own, map(_member, self.live(now_s)), STORE_PROBERS)
 
     def has_relay(self, now_s: float) -> bool:
         """Return whether some entry sends the sum of this data centre."""
-        return not tells_all(self.entries(now_s) - 1)
+        return not reports_directly(self.entries(now_s) - 1)
 
     def receivers(self, now_s: float) -> Receivers:
         """Return the destinations of datagrams.
@@ -259,16 +267,16 @@
         """
         to_all = not self.has_relay(now_s)
         sums = self.sums(now_s)
-        own, far = [], []
+        own, remote = [], []
         for peer in self._peers.values():
-            is_far = peer.data_centre not in ("", self._data_centre)
-            if to_all or not is_far or peer.data_centre not in sums:
+            is_remote = peer.data_centre not in ("", self._data_centre)
+            if to_all or not is_remote or peer.data_centre not in sums:
                 own.append(peer.host)
-            if is_far:
-                far.append(peer.host)
-        return Receivers(tuple(own), tuple(far) if self.is_relay(now_s) else ())
+            if is_remote:
+                remote.append(peer.host)
+        return Receivers(tuple(own), tuple(remote) if self.is_relay(now_s) else ())
 
-    def sum_of_centre(self, own: Hello, own_entry: OtherEntry, now_s: float) -> Hello:
+    def data_centre_sum(self, own: Hello, own_entry: WatchCandidate, now_s: float) -> Hello:
         """Return the sum of this entry's data centre.
 
         Parameters
@@ -280,9 +288,11 @@
         now_s
             Present time.
         """
-        hellos = [(peer.hello, now_s - peer.heard_s) for peer in self.near(now_s) if peer.hello]
+        hellos = [
+            (peer.hello, now_s - peer.received_s) for peer in self.local_peers(now_s) if peer.hello
+        ]
         at_the_store = [
-            OtherEntry(hello.host, hello.store_age_s + age_s, hello.link_mbps)
+            WatchCandidate(hello.host, hello.store_age_s + age_s, hello.link_mbps)
             for hello, age_s in hellos
             if not hello.is_stopping
         ]
@@ -305,13 +315,15 @@
     def forget_old(self, now_s: float) -> list[str]:
         """Remove entries that neither send nor are listed any more; return them."""
         oldest_s = now_s - FORGOTTEN_S
-        old = [p.host for p in self._peers.values() if max(p.heard_s, p.address_seen_s) < oldest_s]
+        old = [
+            p.host for p in self._peers.values() if max(p.received_s, p.address_seen_s) < oldest_s
+        ]
         for host in old:
             del self._peers[host]
         self._sums = {
             key: received
             for key, received in self._sums.items()
-            if now_s - received.heard_s < PEER_TIMEOUT_S
+            if now_s - received.received_s < PEER_TIMEOUT_S
         }
         return old
 
--- a/packages/proxy/src/sassafrastally/proxy/peers.py
+++ b/packages/proxy/src/sassafrastally/proxy/peers.py
@@ -14,19 +14,23 @@
 import trio
 
 from sassafrastally.core import Address, Service
-from sassafrastally.proxy.announcing import AddressRegistration
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.address_registration import AddressRegistration
 from sassafrastally.proxy.calls import CallClient
-from sassafrastally.proxy.catching_up import ChangeFetcher, Source
+from sassafrastally.proxy.change_fetcher import ChangeFetcher, Source
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.dialect import DocumentInvalid
-from sassafrastally.proxy.limit_news import LimitExchange, NullLimitExchange
+from sassafrastally.proxy.limit_exchange import LimitExchange, NullLimitExchange
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import CentreHeard, CentreSilent, PeerHeard, PeerSilent
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.peer_table import PEER_TIMEOUT_S, PeerTable
-from sassafrastally.proxy.quarantine_news import NO_NEWS, NullQuarantineExchange, QuarantineExchange
-from sassafrastally.proxy.sharing import Member, is_news_afar
-from sassafrastally.proxy.watch_duty import OtherEntry
+from sassafrastally.proxy.quarantine_exchange import (
+    EMPTY_REPORT,
+    NullQuarantineExchange,
+    QuarantineExchange,
+)
+from sassafrastally.proxy.sharing import Member, is_urgent_for_sums
+from sassafrastally.proxy.store_watchers import WatchCandidate
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -49,7 +53,7 @@
 in proportion, so that the number of datagrams per second stays bounded. More entries mean fewer
 requests and thus fewer changes at each."""
 
-NEWS_WAY_S = 0.02
+DATAGRAM_LATENCY_S = 0.02
 """Time from a routing decision until peers have its datagram, in addition to the send interval:
 network latency and scheduling in both processes."""
 
@@ -92,20 +96,20 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Bind the UDP port and start the exchange."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
-        self._beliefs.on_newer_revision = self._ledger.note_change
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
+        self._cluster_state.on_newer_revision = self._ledger.note_change
         self._boot_id = self.kernel.random.getrandbits(64)
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
         await self._socket.bind((self._settings.host, self._settings.peer_port))
         self._change_fetcher = ChangeFetcher(
-            self.kernel, self._beliefs, self._sources, self._defers_to_relays
+            self.kernel, self._cluster_state, self._sources, self._defers_to_relays
         )
         self._address_registration = AddressRegistration(
             self.kernel,
             self._settings,
             self._store,
             self._dialect.keys.entries_prefix,
-            self._beliefs,
+            self._cluster_state,
             self._table,
         )
         nursery.start_soon(self._change_fetcher.run)
@@ -134,7 +138,7 @@
         """Return whether this entry retries an unavailable store more often than others."""
         return self._table.is_prober(self._now_s)
 
-    def hears_sums(self) -> bool:
+    def receives_sums(self) -> bool:
         """Return whether data centres exchange sums instead of each entry's work."""
         return self._table.has_relay(self._now_s)
 
@@ -143,7 +147,7 @@
         return self._table.entries(self._now_s) - 1
 
     @property
-    def gap_s(self) -> float:
+    def min_send_interval_s(self) -> float:
         """Minimum time between two datagrams."""
         return min(
             MAX_SEND_INTERVAL_S,
@@ -162,15 +166,15 @@
         """Return the IP addresses of all other entries that may send requests to servers."""
         return self._table.members(self._now_s)
 
-    def others_at_the_store(self) -> list[OtherEntry]:
+    def watch_candidates(self) -> list[WatchCandidate]:
         """Return the live peers with the age of the store's last answer to each."""
-        return self._table.others_at_the_store(self._now_s)
+        return self._table.watch_candidates(self._now_s)
 
     @property
-    def own_entry(self) -> OtherEntry:
+    def own_entry(self) -> WatchCandidate:
         """This entry's state as a candidate for watching the store."""
-        store_age_s = self._now_s - self._beliefs.store_answered_s
-        return OtherEntry(self._settings.host, store_age_s, self._settings.link_mbps)
+        store_age_s = self._now_s - self._cluster_state.store_answered_s
+        return WatchCandidate(self._settings.host, store_age_s, self._settings.link_mbps)
 
     def loads(self) -> list[Mapping[int, Work]]:
         """Return the work of the other entries by hash of the backend server's id."""
@@ -184,7 +188,7 @@
         """Return the slow engines reported by peers: pace by hash of the id."""
         return self._table.paces(self._now_s)
 
-    def tell_at_once(self) -> None:
+    def send_now(self) -> None:
         """Send updates to peers and other data centres without waiting for the next interval."""
         self._ledger.note_change(is_urgent=True)
         self._sum_changed.set()
@@ -197,8 +201,8 @@
             host=self._settings.host,
             boot_id=self._boot_id,
             sequence=self._sequence,
-            revision=self._beliefs.revision,
-            confirmed_age_s=now_s - self._beliefs.confirmed_s,
+            revision=self._cluster_state.revision,
+            confirmed_age_s=now_s - self._cluster_state.confirmed_s,
             is_stopping=self._is_stopping,
             loads={
                 server_hash(life_id): work for life_id, work in self._ledger.work(now_s).items()
@@ -206,11 +210,11 @@
             peers=(),
             suspects=self.own_suspects(),
             paces=self.own_paces(),
-            store_age_s=now_s - self._beliefs.store_answered_s,
-            returned_age_s=now_s - self._beliefs.store_returned_s,
+            store_age_s=now_s - self._cluster_state.store_answered_s,
+            returned_age_s=now_s - self._cluster_state.store_returned_s,
             data_centre=self._settings.data_centre,
             link_mbps=self._settings.link_mbps,
-            limits=self.limits.news(),
+            limits=self.limits.limits_to_send(),
         )
 
     @property
@@ -218,14 +222,16 @@
         return self.kernel.clock.now_s()
 
     @property
-    def news_age_s(self) -> float:
+    def update_age_s(self) -> float:
         """Maximum age of updates from nearby entries; 0 without live peers."""
-        return self.gap_s + NEWS_WAY_S if self.live_count() else 0.0
+        return self.min_send_interval_s + DATAGRAM_LATENCY_S if self.live_count() else 0.0
 
     def _receiver_count(self) -> int:
         """Return the number of live peers to which this entry sends its own state."""
         live = set(self.live_hosts())
-        return sum(1 for host in self._table.receivers(self._now_s).own if host in live)
+        return sum(
+            1 for host in self._table.receivers(self._now_s).own_state_receivers if host in live
+        )
 
     def _sources(self) -> list[Source]:
         """Return the live peers that know a newer revision."""
@@ -233,12 +239,12 @@
         newer = [
             hello
             for hello, _ in self._table.effective_messages(self._now_s)
-            if hello.revision > self._beliefs.revision
+            if hello.revision > self._cluster_state.revision
         ]
         return [
             Source(
                 host=hello.host,
-                is_near=hello.data_centre == own_centre,
+                is_local=hello.data_centre == own_centre,
                 revision=hello.revision,
                 calls=self._client(hello.host),
             )
@@ -259,49 +265,49 @@
             while True:
                 try:
                     data, _ = await self._socket.recvfrom(RECEIVE_BUFFER_BYTES)
-                    self._take(decode_hello(data))
+                    self._apply(decode_hello(data))
                 except (OSError, DocumentInvalid):
                     # A peer's closed port is reported as an error of the next call, and unrelated
                     # datagrams may arrive. Neither gives the state of a peer, which times out when
                     # it sends nothing.
                     continue
 
-    def _take(self, hello: Hello) -> None:
+    def _apply(self, hello: Hello) -> None:
         now_s = self._now_s
         silent_s = self._table.silent_s(hello.host, now_s)
         known_loads = self._table.loads_of(hello.host)
-        if not self._table.take(hello, now_s):
+        if not self._table.apply(hello, now_s):
             return
         if hello.data_centre == self._settings.data_centre:
             self._wake_sums_for_prefill(known_loads, hello.loads)
-        self.limits.take(hello.limits, hello.host)
-        if hello.quarantine != NO_NEWS and self.quarantine.take(hello.quarantine):
+        self.limits.apply(hello.limits, hello.host)
+        if hello.quarantine != EMPTY_REPORT and self.quarantine.apply(hello.quarantine):
             self._sum_changed.set()
         if not hello.entries and silent_s > PEER_TIMEOUT_S:
             self.kernel.events.emit(PeerHeard(hello.host, round(min(silent_s, 1e6), 3)))
         # Set before the changes are fetched, so that entries that only learn of the outage from
         # peers also keep servers with expired leases during the grace period.
         returned_s = now_s - hello.returned_age_s
-        self._beliefs.store_returned_s = max(self._beliefs.store_returned_s, returned_s)
-        if hello.revision > self._beliefs.revision:
+        self._cluster_state.store_returned_s = max(self._cluster_state.store_returned_s, returned_s)
+        if hello.revision > self._cluster_state.revision:
             self._change_fetcher.note_newer_revision()
-        elif hello.revision == self._beliefs.revision:
+        elif hello.revision == self._cluster_state.revision:
             confirmed_s = now_s - hello.confirmed_age_s
-            self._beliefs.confirmed_s = max(self._beliefs.confirmed_s, confirmed_s)
+            self._cluster_state.confirmed_s = max(self._cluster_state.confirmed_s, confirmed_s)
 
     async def _send(self) -> None:
         silent: set[str] = set()
         sent_loads: Mapping[int, Work] = {}
         while True:
             seen, urgent_seen = self._ledger.change_count, self._ledger.urgent_count
-            news = self.quarantine.own_news(is_full=self._start_repeat_if_due())
+            news = self.quarantine.own_report(is_full=self._start_repeat_if_due())
             own = self.hello()._replace(peers=self._peers_to_list(), quarantine=news)
-            await self._send_to(self._table.receivers(self._now_s).own, own)
+            await self._send_to(self._table.receivers(self._now_s).own_state_receivers, own)
             self._wake_sums_for_prefill(sent_loads, own.loads)
             sent_loads = own.loads
             self._note_silent(silent)
             await self._forget_old()
-            gap_s = self.gap_s
+            gap_s = self.min_send_interval_s
             with trio.move_on_after(gap_s) as gap:
                 await self._ledger.urgent_since(urgent_seen)
             if gap.cancelled_caught:
@@ -314,15 +320,17 @@
         known_centres: set[str] = set()
         while True:
             now_s = self._now_s
-            hosts = self._table.receivers(now_s).of_sum
+            hosts = self._table.receivers(now_s).sum_receivers
             if hosts:
-                message = self._table.sum_of_centre(self.hello(), self.own_entry, now_s)
+                message = self._table.data_centre_sum(self.hello(), self.own_entry, now_s)
                 is_full = now_s - listed_s >= FULL_DATAGRAM_INTERVAL_S
                 if is_full:
                     listed_s = now_s
-                    near = (peer.host for peer in self._table.near(now_s))
+                    near = (peer.host for peer in self._table.local_peers(now_s))
                     message = message._replace(peers=(self._settings.host, *near))
-                message = message._replace(quarantine=self.quarantine.all_news(is_full=is_full))
+                message = message._replace(
+                    quarantine=self.quarantine.combined_report(is_full=is_full)
+                )
                 await self._send_to(hosts, message)
             known_centres = self._log_data_centres(known_centres)
             await trio.sleep(MIN_SEND_INTERVAL_S)
@@ -334,7 +342,7 @@
         self, known_loads: Mapping[int, Work], new_loads: Mapping[int, Work]
     ) -> None:
         """Send the sum at once if long prompts have begun their prefill in this data centre."""
-        if is_news_afar(known_loads, new_loads):
+        if is_urgent_for_sums(known_loads, new_loads):
             self._sum_changed.set()
 
     async def _send_to(self, hosts: Iterable[str], hello: Hello) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/plain.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain.py
@@ -65,13 +65,13 @@
         return self._reply_not_run(TURNED_AWAY, f"{self.progress.attempts} attempts")
 
     def _choose_server(self) -> BackendServer | None:
-        views = self._services.sight.views(self._task.service, self.progress.tried)
+        views = self._services.fleet_view.views(self._task.service, self.progress.tried)
         if self._is_suspect():
             views = self._isolate(views)
         return place_plain(views, self._services.kernel.data_centre)
 
     def _has_untried_servers(self) -> bool:
-        return bool(self._services.sight.views(self._task.service, self.progress.tried))
+        return bool(self._services.fleet_view.views(self._task.service, self.progress.tried))
 
     def _should_retry(self, answer: WholeAnswer) -> bool:
         return answer.status >= SERVER_ERROR_STATUS and self._task.route.is_repeatable
@@ -82,11 +82,11 @@
         begin_s = self._clock.now_s()
         self._log_placed(server)
         flight = Flight(server.life_id, Lane.PLAIN, is_suspect=self._is_suspect())
-        self._services.sight.ledger.add(flight, begin_s)
+        self._services.fleet_view.ledger.add(flight, begin_s)
         try:
             with trio.move_on_at(self._attempt_deadline_s(begin_s)):
                 answer = await self._exchange(server, begin_s)
-                self._services.sight.note_success(server.life_id)
+                self._services.fleet_view.note_success(server.life_id)
                 self._record_success(answer.status)
                 return answer
             await self._record_unknown(server, begin_s, "no answer within the attempt's time limit")
@@ -95,7 +95,7 @@
         except AttemptUnknown as cause:
             await self._record_unknown(server, begin_s, cause)
         finally:
-            self._services.sight.ledger.remove(flight, self._clock.now_s())
+            self._services.fleet_view.ledger.remove(flight, self._clock.now_s())
         return None
 
     def _attempt_deadline_s(self, begin_s: float) -> float:
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sassafrastally.proxy.crash_cases import PRESUMED_CRASH_KEPT_S, Crash, CrashCases
-from sassafrastally.proxy.quarantine_news import NO_NEWS, QuarantineNews, VerdictNews
+from sassafrastally.proxy.crash_records import PRESUMED_CRASH_KEPT_S, Crash, CrashRecords
+from sassafrastally.proxy.quarantine_exchange import EMPTY_REPORT, QuarantineReport, VerdictReport
 
 CRASHES_FOR_VERDICT = 3
 """Crashes after which a request is quarantined. Two are common for requests that run beside a
@@ -85,7 +85,7 @@
     """Verdicts and the crashes on which they are based."""
 
     def __init__(self) -> None:
-        self._cases = CrashCases()
+        self._cases = CrashRecords()
         self._verdicts: dict[int, Verdict] = {}
         self._ended: dict[int, Verdict] = {}
         """Ended verdicts, by fingerprint; one more crash quarantines these requests again."""
@@ -186,7 +186,7 @@
         self._apply_answer(fingerprint, now_s, now_s)
         return True
 
-    def apply_verdict(self, received: VerdictNews, now_s: float) -> Verdict | None:
+    def apply_verdict(self, received: VerdictReport, now_s: float) -> Verdict | None:
         """Apply a verdict received from another entry; return it if it is new.
 
         For a known verdict the earlier expiry counts: an entry that read it from the store doesn't
@@ -216,7 +216,9 @@
             self._end(verdict, now_s)
         return verdict is not None
 
-    def news(self, now_s: float, *, is_full: bool, includes_peers: bool = False) -> QuarantineNews:
+    def news(
+        self, now_s: float, *, is_full: bool, includes_peers: bool = False
+    ) -> QuarantineReport:
         """Return the records to send to the peers.
 
         Parameters
@@ -229,14 +231,14 @@
             Whether to include records received from peers, on behalf of a data centre.
         """
         max_age_s = NEWS_REPEATED_S if is_full else NEWS_FRESH_S
-        news = QuarantineNews(
-            self._cases.crash_news(now_s, max_age_s, includes_peers=includes_peers),
+        news = QuarantineReport(
+            self._cases.crashes_to_send(now_s, max_age_s, includes_peers=includes_peers),
             self._verdict_news(now_s, is_full),
-            self._cases.answer_news(now_s, max_age_s, includes_peers=includes_peers),
+            self._cases.answers_to_send(now_s, max_age_s, includes_peers=includes_peers),
         )
-        return news if any(news) else NO_NEWS
+        return news if any(news) else EMPTY_REPORT
 
-    def take(self, news: QuarantineNews, now_s: float) -> list[Verdict]:
+    def apply(self, news: QuarantineReport, now_s: float) -> list[Verdict]:
         """Apply the records received from a peer; return the new verdicts."""
         for answer in news.answers:
             self._apply_answer(answer.fingerprint, now_s - answer.age_s, now_s)
@@ -383,7 +385,7 @@
             del self._verdicts[verdict.fingerprint]
             self._note_lifted(verdict.fingerprint, now_s)
 
-    def _verdict_news(self, now_s: float, is_full: bool) -> tuple[VerdictNews, ...]:
+    def _verdict_news(self, now_s: float, is_full: bool) -> tuple[VerdictReport, ...]:
         if not self._verdicts:
             return ()
         found = [
@@ -393,7 +395,7 @@
         ]
         latest = sorted(found, key=lambda verdict: -verdict.since_s)[:MAX_VERDICTS_SENT]
         return tuple(
-            VerdictNews(one.fingerprint, one.until_s - now_s, one.crashes) for one in latest
+            VerdictReport(one.fingerprint, one.until_s - now_s, one.crashes) for one in latest
         )
 
 
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_news.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_exchange.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple, Protocol
 
 
-class CrashNews(NamedTuple):
+class CrashReport(NamedTuple):
     """A server crashed while it ran a request."""
 
     fingerprint: int
@@ -16,7 +16,7 @@
     """Whether it isn't certain yet that the server has crashed."""
 
 
-class VerdictNews(NamedTuple):
+class VerdictReport(NamedTuple):
     """A request is quarantined."""
 
     fingerprint: int
@@ -25,36 +25,36 @@
     """Servers that crashed while running it."""
 
 
-class AnswerNews(NamedTuple):
+class AnswerReport(NamedTuple):
     """A request during which servers crashed has been answered."""
 
     fingerprint: int
     age_s: float
 
 
-class QuarantineNews(NamedTuple):
+class QuarantineReport(NamedTuple):
     """Records about harmful requests sent to peers."""
 
-    crashes: tuple[CrashNews, ...] = ()
-    verdicts: tuple[VerdictNews, ...] = ()
-    answers: tuple[AnswerNews, ...] = ()
+    crashes: tuple[CrashReport, ...] = ()
+    verdicts: tuple[VerdictReport, ...] = ()
+    answers: tuple[AnswerReport, ...] = ()
 
 
-NO_NEWS = QuarantineNews()
+EMPTY_REPORT = QuarantineReport()
 
 
 class QuarantineExchange(Protocol):
     """Source and receiver of quarantine records for the datagram exchange."""
 
-    def own_news(self, *, is_full: bool) -> QuarantineNews:
+    def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return the records that this entry has made itself; if `is_full`, older ones too."""
         ...
 
-    def all_news(self, *, is_full: bool) -> QuarantineNews:
+    def combined_report(self, *, is_full: bool) -> QuarantineReport:
         """Return all records, those of peers included, on behalf of a data centre."""
         ...
 
-    def take(self, news: QuarantineNews) -> bool:
+    def apply(self, news: QuarantineReport) -> bool:
         """Apply a peer's records; return whether to forward them to other data centres at once."""
         ...
 
@@ -62,14 +62,14 @@
 class NullQuarantineExchange:
     """Placeholder until the quarantine has started; sends and records nothing."""
 
-    def own_news(self, *, is_full: bool) -> QuarantineNews:
+    def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return no news."""
-        return NO_NEWS
+        return EMPTY_REPORT
 
-    def all_news(self, *, is_full: bool) -> QuarantineNews:
+    def combined_report(self, *, is_full: bool) -> QuarantineReport:
         """Return no news."""
-        return NO_NEWS
+        return EMPTY_REPORT
 
-    def take(self, news: QuarantineNews) -> bool:
+    def apply(self, news: QuarantineReport) -> bool:
         """Ignore the records; the peers repeat them."""
         return False
--- a/packages/proxy/src/sassafrastally/proxy/quarantining.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
@@ -9,7 +9,7 @@
 
 from sassafrastally.core import KvUnavailable, LeaseLost, MaybeApplied, Service
 from sassafrastally.core.kv import KvConflict, KvWrite
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fingerprint import fingerprint_text, parse_fingerprint
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import (
@@ -20,7 +20,7 @@
 )
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.quarantine import QUARANTINE_S, Quarantine, Verdict
-from sassafrastally.proxy.quarantine_news import QuarantineNews, VerdictNews
+from sassafrastally.proxy.quarantine_exchange import QuarantineReport, VerdictReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -50,7 +50,7 @@
 KEY_ABSENT = 0
 
 
-class Quarantining(Service):
+class QuarantineService(Service):
     """The quarantine of one entry.
 
     Parameters
@@ -76,11 +76,11 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Load the records from the store and register with the peer exchange."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
         self._peers.quarantine = self
-        self._beliefs.on_quarantine_record = self._apply_record
-        for record in self._beliefs.quarantine_records():
+        self._cluster_state.on_quarantine_record = self._apply_record
+        for record in self._cluster_state.quarantine_records():
             self._apply_record(record)
         nursery.start_soon(self._record)
         nursery.start_soon(self._clean_up)
@@ -99,9 +99,9 @@
         return self._quarantine.crashes_under(fingerprint, self._now_s)
 
     @property
-    def news_age_s(self) -> float:
+    def update_age_s(self) -> float:
         """Maximum time until nearby entries know of each other's crash records."""
-        return self._peers.news_age_s
+        return self._peers.update_age_s
 
     def suspects_with(self, fingerprint: int) -> dict[int, int]:
         """Return crash counts of a request and of those that ran on the same crashed servers."""
@@ -126,30 +126,30 @@
         )
         if verdict is not None:
             self._note_verdict(verdict, "own", self._now_s)
-        self._peers.tell_at_once()
+        self._peers.send_now()
 
     def note_answered(self, fingerprint: int) -> None:
         """Record that a request got a complete answer."""
         was_quarantined = self.verdict(fingerprint) is not None
         if not self._quarantine.note_answered(fingerprint, self._now_s):
             return
-        self._peers.tell_at_once()
+        self._peers.send_now()
         if was_quarantined and self.verdict(fingerprint) is None:
             self._note_lifted(fingerprint, "a server answered it")
 
-    def own_news(self, *, is_full: bool) -> QuarantineNews:
+    def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return the records that this entry has made itself."""
         return self._quarantine.news(self._now_s, is_full=is_full)
 
-    def all_news(self, *, is_full: bool) -> QuarantineNews:
+    def combined_report(self, *, is_full: bool) -> QuarantineReport:
         """Return all records, those of peers included."""
         return self._quarantine.news(self._now_s, is_full=is_full, includes_peers=True)
 
-    def take(self, news: QuarantineNews) -> bool:
+    def apply(self, news: QuarantineReport) -> bool:
         """Apply a peer's records; return whether any of them is new."""
         before = self._quarantine.version
         quarantined = {verdict.fingerprint for verdict in self._quarantine.verdicts(self._now_s)}
-        for verdict in self._quarantine.take(news, self._now_s):
+        for verdict in self._quarantine.apply(news, self._now_s):
             self._note_verdict(verdict, "peer", self._peer_verdict_due_s())
         for answer in news.answers:
             if answer.fingerprint in quarantined and self.verdict(answer.fingerprint) is None:
@@ -179,7 +179,7 @@
     def _note_lifted(self, fingerprint: int, reason: str) -> None:
         self._due_s.pop(fingerprint, None)
         self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
-        if self._beliefs.has_key(self._key(fingerprint)):
+        if self._cluster_state.has_key(self._key(fingerprint)):
             self._due_s[fingerprint] = self._peer_verdict_due_s()
             self._news.set()
 
@@ -202,7 +202,7 @@
                 reason = "its record in the store was removed"
                 self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
             return
-        received = VerdictNews(fingerprint, QUARANTINE_S, crashes)
+        received = VerdictReport(fingerprint, QUARANTINE_S, crashes)
         verdict = self._quarantine.apply_verdict(received, self._now_s)
         if verdict is not None:
             self._note_verdict(verdict, "store", self._now_s)
@@ -225,7 +225,7 @@
         key = self._key(fingerprint)
         verdict = self.verdict(fingerprint)
         should_exist = verdict is not None
-        if should_exist == self._beliefs.has_key(key):
+        if should_exist == self._cluster_state.has_key(key):
             return
         try:
             if verdict is None:
@@ -257,7 +257,7 @@
                 self._note_lifted(lifted.verdict.fingerprint, lifted.reason)
             for verdict in self._quarantine.verdicts(self._now_s):
                 # The record's lease may have expired early during a store outage.
-                if not self._beliefs.has_key(self._key(verdict.fingerprint)):
+                if not self._cluster_state.has_key(self._key(verdict.fingerprint)):
                     self._due_s.setdefault(verdict.fingerprint, self._peer_verdict_due_s())
                     self._news.set()
 
--- a/packages/proxy/src/sassafrastally/proxy/report_duty.py
+++ b/packages/proxy/src/sassafrastally/proxy/report_duty.py
@@ -31,7 +31,7 @@
 """Share of a rate-limited engine's requests that is used for its reports."""
 
 
-def has_report_duty(life_id: str, own_host: str, hosts: Iterable[str] | None) -> bool:
+def polls_engine(life_id: str, own_host: str, hosts: Iterable[str] | None) -> bool:
     """Return whether this entry polls an engine for its reports.
 
     Uses rendezvous hashing, so that all entries compute the same assignment and only the engines of
--- a/packages/proxy/src/sassafrastally/proxy/reports.py
+++ b/packages/proxy/src/sassafrastally/proxy/reports.py
@@ -8,14 +8,14 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure, CallKind
-from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.calls import CallClient
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.dialect import DocumentInvalid
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.log_events import EngineSlow, EngineUsual, ReportFailed
 from sassafrastally.proxy.pace import SLOW_PACE, USUAL_PACE
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.report_duty import has_report_duty, report_interval_s
-from sassafrastally.proxy.sight import Sight
+from sassafrastally.proxy.report_duty import polls_engine, report_interval_s
 from sassafrastally.proxy.store import AnswerLost
 
 if TYPE_CHECKING:
@@ -63,12 +63,12 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the services used and start polling."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
-        self._sight = self.kernel.get("sight", Sight)
+        self._fleet_view = self.kernel.get("sight", FleetView)
         self._backpressure = self.kernel.get("backpressure", Backpressure)
         self._nursery = nursery
-        self._sight.request_report = self._poll_for_request
+        self._fleet_view.request_report = self._poll_for_request
         nursery.start_soon(self._run)
 
     async def _run(self) -> None:
@@ -79,30 +79,30 @@
             for engine in self._engines_due(engines):
                 self._polled_s[engine.life_id] = self.kernel.clock.now_s()
                 self._nursery.start_soon(self._poll, engine)
-            self._sight.waiting_attempts.tell(self._sight.paces())
+            self._fleet_view.waiting_attempts.tell(self._fleet_view.paces())
 
     def _engines(self) -> list[BackendServer]:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         if configuration is None:
             return []
         return [
             server
             for service in configuration.services.values()
             if service.engine is not None
-            for server in self._beliefs.servers_of(service.name)
+            for server in self._cluster_state.servers_of(service.name)
         ]
 
     def _engines_due(self, engines: list[BackendServer]) -> list[BackendServer]:
         now_s = self.kernel.clock.now_s()
         hosts = self._polling_hosts(engines)
-        doubted = self._sight.waiting_attempts.doubted(now_s)
-        paces = self._sight.paces()
+        doubted = self._fleet_view.waiting_attempts.doubted(now_s)
+        paces = self._fleet_view.paces()
         due = []
         for engine in engines:
             life_id = engine.life_id
             is_doubted = life_id in doubted
             polling_hosts = hosts[engine.data_centre]
-            if not is_doubted and not has_report_duty(life_id, self._own_host, polling_hosts):
+            if not is_doubted and not polls_engine(life_id, self._own_host, polling_hosts):
                 continue
             pace = paces.get(life_id, USUAL_PACE)
             limit_per_s = self._backpressure.limit_of(life_id)
@@ -156,13 +156,13 @@
                 return
             if request_id or failures >= FAILURES_IN_A_ROW:
                 reason = f"no report: {cause.detail}"
-                self._sight.note_failure(engine, reason, request_id, is_clear=True)
+                self._fleet_view.note_failure(engine, reason, request_id, is_clear=True)
             return
         self._failures.pop(engine.life_id, None)
         if report.born_ms is not None and report.born_ms != engine.born_ms:
             return  # Another incarnation answers; its store record will follow.
-        was_slow = engine.life_id in self._sight.paces()
-        self._sight.note_pace(engine, report.pace)
+        was_slow = engine.life_id in self._fleet_view.paces()
+        self._fleet_view.note_pace(engine, report.pace)
         if report.pace >= SLOW_PACE and not was_slow:
             self.kernel.events.emit(EngineSlow(engine.server_id, report.pace))
         elif report.pace < SLOW_PACE and was_slow:
--- a/packages/proxy/src/sassafrastally/proxy/reservations.py
+++ b/packages/proxy/src/sassafrastally/proxy/reservations.py
@@ -28,7 +28,7 @@
 
     from sassafrastally.core import Kernel
     from sassafrastally.proxy.backpressure import Backpressure
-    from sassafrastally.proxy.beliefs import Beliefs
+    from sassafrastally.proxy.cluster_state import ClusterState
     from sassafrastally.proxy.dialect import Call, Dialect
     from sassafrastally.proxy.model import BackendServer
     from sassafrastally.proxy.plan import Holding
@@ -65,7 +65,7 @@
         Translates reservation calls.
     kernel
         Clock, random source and log.
-    beliefs
+    cluster_state
         Tells whether an engine has restarted since the reservation.
     backpressure
         Counts the calls towards the servers' limits.
@@ -77,12 +77,12 @@
         self,
         dialect: Dialect,
         kernel: Kernel,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         backpressure: Backpressure,
         nursery: trio.Nursery,
     ) -> None:
         self._dialect = dialect
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._backpressure = backpressure
         self._kernel = kernel
         self._nursery = nursery
@@ -169,7 +169,7 @@
                             renewal_round % LIMITED_RENEWAL_STRIDE == 1
                             or self._backpressure.is_open(server)
                         )
-                        if is_due and self._beliefs.is_current(server):
+                        if is_due and self._cluster_state.is_current(server):
                             nursery.start_soon(self._reserve, reservation)
 
     async def _release(self, reservation: _Reservation) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/server_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/server_limits.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.limit_news import LimitNews
+from sassafrastally.proxy.limit_exchange import LimitReport
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -42,7 +42,7 @@
 class _LimitRecord(NamedTuple):
     most_per_s: float | None
     """``None`` if the limit has ended."""
-    heard_s: float
+    received_s: float
     announced_per_s: float | None
     """The limit at the latest change of kind `LimitChange.NEWS`."""
 
@@ -71,35 +71,35 @@
             return LimitChange.NOTHING
         return self._update(key, most_per_s, now_s)
 
-    def note_peer_limit(self, key: int, news: LimitNews, now_s: float) -> LimitChange:
+    def note_peer_limit(self, key: int, news: LimitReport, now_s: float) -> LimitChange:
         """Record a limit that a peer has reported."""
         known = self._records.get(key)
-        heard_s = now_s - news.age_s
-        if known is not None and heard_s <= known.heard_s + PEER_AGE_ERROR_S:
+        received_s = now_s - news.age_s
+        if known is not None and received_s <= known.received_s + PEER_AGE_ERROR_S:
             return LimitChange.NOTHING
-        return self._update(key, news.most_per_s, heard_s)
+        return self._update(key, news.most_per_s, received_s)
 
-    def news(self, now_s: float) -> Mapping[int, LimitNews]:
+    def limits_to_send(self, now_s: float) -> Mapping[int, LimitReport]:
         """Return the limits and tombstones to send to peers, the latest first."""
         self._records = {
             key: record
             for key, record in self._records.items()
-            if now_s - record.heard_s < UNCONFIRMED_KEPT_S
+            if now_s - record.received_s < UNCONFIRMED_KEPT_S
         }
         reports = {
-            key: LimitNews(record.most_per_s, now_s - record.heard_s)
+            key: LimitReport(record.most_per_s, now_s - record.received_s)
             for key, record in self._records.items()
-            if record.most_per_s is not None or now_s - record.heard_s < TOMBSTONE_S
+            if record.most_per_s is not None or now_s - record.received_s < TOMBSTONE_S
         }
         return dict(sorted(reports.items(), key=lambda item: item[1].age_s))
 
-    def _update(self, key: int, most_per_s: float | None, heard_s: float) -> LimitChange:
+    def _update(self, key: int, most_per_s: float | None, received_s: float) -> LimitChange:
         known = self._records.get(key)
         known_per_s = known.most_per_s if known else None
         announced_per_s = known.announced_per_s if known else None
         is_significant = _is_significant(announced_per_s, most_per_s)
         self._records[key] = _LimitRecord(
-            most_per_s, heard_s, most_per_s if is_significant else announced_per_s
+            most_per_s, received_s, most_per_s if is_significant else announced_per_s
         )
         if is_significant:
             return LimitChange.NEWS
--- a/packages/proxy/src/sassafrastally/proxy/sharing.py
+++ b/packages/proxy/src/sassafrastally/proxy/sharing.py
@@ -25,7 +25,7 @@
 """Entries of a data centre that send its sum to the other data centres, so that the sum still
 arrives when one of them fails."""
 
-PROBERS = 6
+STORE_PROBERS = 6
 """Entries that probe an unavailable store. The first one that gets an answer notifies all others.
 Several are needed to notice a store that is available again but rejects some entries."""
 
@@ -43,12 +43,12 @@
     is_stopping: bool = False
 
 
-def tells_all(peers: int) -> bool:
+def reports_directly(peers: int) -> bool:
     """Return whether an entry reports directly to each of that many peers."""
     return peers <= MAX_DIRECT_PEERS
 
 
-def is_first(own: Member, others: Iterable[Member], count: int) -> bool:
+def is_ranked_first(own: Member, others: Iterable[Member], count: int) -> bool:
     """Return whether an entry is among the first of several, ordered by link speed.
 
     All entries compute the same order, so the relays of a data centre needn't be elected. The
@@ -73,7 +73,7 @@
     return before < count
 
 
-def is_news_afar(reported: Mapping[int, Work], current: Mapping[int, Work]) -> bool:
+def is_urgent_for_sums(reported: Mapping[int, Work], current: Mapping[int, Work]) -> bool:
     """Return whether an entry has started a prefill that other data centres must learn of at once.
 
     Parameters
--- a/packages/proxy/src/sassafrastally/proxy/watch_duty.py
+++ b/packages/proxy/src/sassafrastally/proxy/store_watchers.py
@@ -18,21 +18,21 @@
 """Number of entries that watch at the same time. If one is cut off or dies, another still
 watches."""
 
-FRESH_S = 1.5
+WATCHER_TIMEOUT_S = 1.5
 """A waiting watch gets an answer each second. A watcher without one for longer than this doesn't
 count, and the next entry takes over, early enough for changes to be in force within two seconds."""
 
 
-STEP_S = 0.3
-FIRST_STEP = 6
-LAST_STEP_S = 0.9
+TAKEOVER_STEP_S = 0.3
+FIRST_TAKEOVER_COUNT = 6
+MAX_TAKEOVER_DELAY_S = 0.9
 """When the watchers get no answers, the first six entries take over at once, twice as many more
 after another 0.3 s, and all after 0.9 s. This leaves time for the first of them to get an answer
 and notify the others. When all took over together, a store pause of two seconds cost three calls of
 each of 68 entries."""
 
 
-class OtherEntry(NamedTuple):
+class WatchCandidate(NamedTuple):
     """An entry as a candidate for watching the store."""
 
     host: str
@@ -42,16 +42,16 @@
     """Speed of its link. A watch transfers each configuration version in full, and twenty versions
     of half a megabyte within two seconds take nine seconds on a link of ten megabits; so the
     entries with the fastest links watch."""
-    way_s: float = 0.0
+    relay_delay_s: float = 0.0
     """Additional delay of its state if it arrives by way of a relay. Without this allowance, an
     entry that learns of the watchers from a relay would take over and stop again all the time."""
 
-    def has_recent_answer(self, within_s: float = FRESH_S) -> bool:
+    def has_recent_answer(self, within_s: float = WATCHER_TIMEOUT_S) -> bool:
         """Return whether the store has answered it recently."""
-        return self.store_age_s - self.way_s < within_s
+        return self.store_age_s - self.relay_delay_s < within_s
 
 
-def has_duty(own: OtherEntry, others: Iterable[OtherEntry]) -> bool:
+def must_watch_store(own: WatchCandidate, others: Iterable[WatchCandidate]) -> bool:
     """Return whether an entry has to watch the store itself.
 
     Parameters
@@ -63,20 +63,20 @@
     """
     own_rank = link_rank(own.host, own.link_mbps)
     higher_ranked = [other for other in others if link_rank(other.host, other.link_mbps) < own_rank]
-    within_s = FRESH_S + takeover_delay_s(len(higher_ranked))
+    within_s = WATCHER_TIMEOUT_S + takeover_delay_s(len(higher_ranked))
     return sum(1 for other in higher_ranked if other.has_recent_answer(within_s)) < WATCHERS
 
 
 def takeover_delay_s(position: int) -> float:
     """Return the additional takeover delay of an entry by its position in the ranking, from 0."""
-    wait_s, takeover_count = 0.0, FIRST_STEP
-    while position >= takeover_count and wait_s < LAST_STEP_S:
-        wait_s += STEP_S
+    wait_s, takeover_count = 0.0, FIRST_TAKEOVER_COUNT
+    while position >= takeover_count and wait_s < MAX_TAKEOVER_DELAY_S:
+        wait_s += TAKEOVER_STEP_S
         takeover_count *= 3  # Twice as many more.
-    return min(wait_s, LAST_STEP_S)
+    return min(wait_s, MAX_TAKEOVER_DELAY_S)
 
 
-def watchers(entries: Iterable[OtherEntry]) -> list[OtherEntry]:
+def watchers(entries: Iterable[WatchCandidate]) -> list[WatchCandidate]:
     """Return the highest-ranked entries that the store answers, which may watch for all."""
     fresh = (entry for entry in entries if entry.has_recent_answer())
     return sorted(fresh, key=lambda entry: link_rank(entry.host, entry.link_mbps))[:WATCHERS]
--- a/packages/proxy/src/sassafrastally/proxy/watch.py
+++ b/packages/proxy/src/sassafrastally/proxy/watch.py
@@ -7,8 +7,8 @@
 import trio
 
 from sassafrastally.core import KvUnavailable, Service
-from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.catching_up import CONFIGURATION_PAUSE_S
+from sassafrastally.proxy.change_fetcher import CONFIGURATION_PAUSE_S
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.log_events import (
     HistoryReread,
     StoreLost,
@@ -18,7 +18,7 @@
 from sassafrastally.proxy.metrics import STORE_LOSSES
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.store import HistoryGone
-from sassafrastally.proxy.watch_duty import has_duty
+from sassafrastally.proxy.store_watchers import must_watch_store
 
 if TYPE_CHECKING:
     from sassafrastally.proxy.store import Store
@@ -53,7 +53,7 @@
 
 
 class StoreWatch(Service):
-    """Keeps `Beliefs` up to date from the store."""
+    """Keeps `ClusterState` up to date from the store."""
 
     name: ClassVar[str] = "store-watch"
     needs: ClassVar[tuple[str, ...]] = ("beliefs", "peers")
@@ -66,7 +66,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the services used and start following the store."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
         nursery.start_soon(self._follow)
 
@@ -83,16 +83,18 @@
                     must_read, pause_s = False, MIN_RETRY_PAUSE_S
                     continue
                 wait_s, self._wait_s = self._wait_s, WATCH_WAIT_S
-                changes = await self._store.watch(ALL_KEYS_PREFIX, self._beliefs.revision, wait_s)
+                changes = await self._store.watch(
+                    ALL_KEYS_PREFIX, self._cluster_state.revision, wait_s
+                )
                 self._note_recovered()
-                configuration = self._beliefs.configuration
+                configuration = self._cluster_state.configuration
                 self._peers.note_changes(changes.events)
-                self._beliefs.apply(changes.events, changes.revision, "store")
+                self._cluster_state.apply(changes.events, changes.revision, "store")
                 pause_s = MIN_RETRY_PAUSE_S
-                if self._beliefs.configuration is not configuration:
+                if self._cluster_state.configuration is not configuration:
                     await trio.sleep(CONFIGURATION_PAUSE_S)
             except HistoryGone:
-                self.kernel.events.emit(HistoryReread(self._beliefs.revision))
+                self.kernel.events.emit(HistoryReread(self._cluster_state.revision))
                 must_read = True
             except KvUnavailable as cause:
                 self._note_lost(cause)
@@ -101,8 +103,8 @@
 
     async def _read_snapshot(self) -> None:
         snapshot = await self._store.read_prefix(ALL_KEYS_PREFIX)
-        is_first = self._beliefs.revision == 0
-        self._beliefs.replace(snapshot, "store")
+        is_first = self._cluster_state.revision == 0
+        self._cluster_state.replace(snapshot, "store")
         self._note_recovered()
         self._peers.note_snapshot(snapshot.entries)
         if is_first and self._peers.has_known_peers():
@@ -118,11 +120,13 @@
         unavailable. This entry hasn't observed an outage itself, so it records one here: servers
         whose leases expired meanwhile must get the grace period from it too.
         """
-        others = self._peers.others_at_the_store()
-        had_duty, self._is_watching = self._is_watching, has_duty(self._peers.own_entry, others)
+        others = self._peers.watch_candidates()
+        had_duty, self._is_watching = self._is_watching, must_watch_store(
+            self._peers.own_entry, others
+        )
         if self._is_watching and not had_duty:
             self._wait_s = TAKEOVER_WAIT_S
-            self.kernel.events.emit(WatchTakenOver(len(others), self._beliefs.revision))
+            self.kernel.events.emit(WatchTakenOver(len(others), self._cluster_state.revision))
             if self._lost_since_s is None:
                 self._lost_since_s = self.kernel.clock.now_s()
         return self._is_watching
@@ -133,17 +137,17 @@
         now_s = self.kernel.clock.now_s()
         self._lost_since_s = now_s
         STORE_LOSSES.add(1)
-        age_s = min(now_s - self._beliefs.confirmed_s, 1e6)
+        age_s = min(now_s - self._cluster_state.confirmed_s, 1e6)
         self.kernel.events.emit(
-            StoreLost("watch", cause.detail, self._beliefs.revision, round(age_s, 3))
+            StoreLost("watch", cause.detail, self._cluster_state.revision, round(age_s, 3))
         )
 
     def _note_recovered(self) -> None:
         now_s = self.kernel.clock.now_s()
-        self._beliefs.store_answered_s = now_s
+        self._cluster_state.store_answered_s = now_s
         if self._lost_since_s is None:
             return
-        self._beliefs.store_returned_s = now_s
+        self._cluster_state.store_returned_s = now_s
         away_s = round(now_s - self._lost_since_s, 3)
         self._lost_since_s = None
-        self.kernel.events.emit(StoreRegained(away_s, self._beliefs.revision))
+        self.kernel.events.emit(StoreRegained(away_s, self._cluster_state.revision))
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -11,7 +11,7 @@
 from sassafrastally.proxy.engine_time import pass_ms, reading_ms
 from sassafrastally.proxy.event_stream import EventSplitter
 from sassafrastally.proxy.lanes import ServerView
-from sassafrastally.proxy.leaving import LeavingServers, looks_leaving
+from sassafrastally.proxy.leaving_servers import LeavingServers, looks_leaving
 from sassafrastally.proxy.load import (
     UNFINISHED_READING_MS,
     Flight,
@@ -33,19 +33,19 @@
 from sassafrastally.proxy.moving import is_worth_moving, remaining_s
 from sassafrastally.proxy.pace import REPORT_VALID_S, Paces
 from sassafrastally.proxy.plain_placement import place_plain
-from sassafrastally.proxy.report_duty import has_report_duty
+from sassafrastally.proxy.report_duty import polls_engine
 from sassafrastally.proxy.routes import RouteTable, choose_service
 from sassafrastally.proxy.slowness import Slowness, slow_event_time_s
+from sassafrastally.proxy.store_watchers import (
+    FIRST_TAKEOVER_COUNT,
+    MAX_TAKEOVER_DELAY_S,
+    WATCHER_TIMEOUT_S,
+    WatchCandidate,
+    must_watch_store,
+)
 from sassafrastally.proxy.suspicion import Suspicion
 from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
 from sassafrastally.proxy.unseen import UnseenRequests
-from sassafrastally.proxy.watch_duty import (
-    FIRST_STEP,
-    FRESH_S,
-    LAST_STEP_S,
-    OtherEntry,
-    has_duty,
-)
 
 FIGURES = EngineFigures(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
 
@@ -170,7 +170,7 @@
 
         def polled_by(present: list[str]) -> dict[str, list[str]]:
             return {
-                engine: [host for host in present if has_report_duty(engine, host, present)]
+                engine: [host for host in present if polls_engine(engine, host, present)]
                 for engine in engines
             }
 
@@ -205,9 +205,9 @@
         placed on one of them. A full engine rejects requests too and must not be avoided for
         seconds."""
         idle, full = Work(short_requests=1), Work(short_requests=3, reading_requests=1)
-        assert looks_leaving(idle, 5, news_age_s=3.0)
-        assert not looks_leaving(full, 5, news_age_s=3.0)
-        assert not looks_leaving(idle, 5, news_age_s=0.3)
+        assert looks_leaving(idle, 5, update_age_s=3.0)
+        assert not looks_leaving(full, 5, update_age_s=3.0)
+        assert not looks_leaving(idle, 5, update_age_s=0.3)
 
     def test_is_avoided_until_it_is_gone_or_confirmed_to_stay(self):
         leaving = LeavingServers()
@@ -259,13 +259,13 @@
     ) -> list[str]:
         """Return the entries that watch if each knows all others."""
         entries = [
-            OtherEntry(host, age_s, (links_mbps or {}).get(host, 100))
+            WatchCandidate(host, age_s, (links_mbps or {}).get(host, 100))
             for host, age_s in ages_s.items()
         ]
         return [
             entry.host
             for entry in entries
-            if has_duty(entry, [other for other in entries if other is not entry])
+            if must_watch_store(entry, [other for other in entries if other is not entry])
         ]
 
     def test_two_of_many_watch(self):
@@ -279,9 +279,11 @@
         each of them would watch, and would read everything again if the store has compacted its
         history."""
         hosts = [f"10.0.0.{n}" for n in range(68)]
-        assert len(self.duties(dict.fromkeys(hosts, 1.6))) == FIRST_STEP
-        assert len(self.duties(dict.fromkeys(hosts, 1.9))) == 3 * FIRST_STEP
-        assert len(self.duties(dict.fromkeys(hosts, FRESH_S + LAST_STEP_S))) == 68
+        assert len(self.duties(dict.fromkeys(hosts, 1.6))) == FIRST_TAKEOVER_COUNT
+        assert len(self.duties(dict.fromkeys(hosts, 1.9))) == 3 * FIRST_TAKEOVER_COUNT
+        assert (
+            len(self.duties(dict.fromkeys(hosts, WATCHER_TIMEOUT_S + MAX_TAKEOVER_DELAY_S))) == 68
+        )
 
     def test_the_fastest_links_watch(self):
         """Twenty versions of 0.5 MB arrive within two seconds. A watcher on a link of 10 Mbit/s
--- a/packages/proxy/tests/test_peer_messages.py
+++ b/packages/proxy/tests/test_peer_messages.py
@@ -4,12 +4,17 @@
 
 import random
 
-from sassafrastally.proxy.crash_cases import MAX_CRASHES_SENT
-from sassafrastally.proxy.limit_news import LimitNews
+from sassafrastally.proxy.crash_records import MAX_CRASHES_SENT
+from sassafrastally.proxy.limit_exchange import LimitReport
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.quarantine import Quarantine
-from sassafrastally.proxy.quarantine_news import AnswerNews, CrashNews, QuarantineNews, VerdictNews
+from sassafrastally.proxy.quarantine_exchange import (
+    AnswerReport,
+    CrashReport,
+    QuarantineReport,
+    VerdictReport,
+)
 
 
 class TestDatagram:
@@ -31,9 +36,11 @@
             returned_age_s=7.5,
             data_centre="here",
             link_mbps=100,
-            limits={9: LimitNews(2.5, 0.125), 10: LimitNews(None, 1.0)},
-            quarantine=QuarantineNews(
-                (CrashNews(1 << 63, 2, 0.25),), (VerdictNews(3, 599.5, 4),), (AnswerNews(5, 1.5),)
+            limits={9: LimitReport(2.5, 0.125), 10: LimitReport(None, 1.0)},
+            quarantine=QuarantineReport(
+                (CrashReport(1 << 63, 2, 0.25),),
+                (VerdictReport(3, 599.5, 4),),
+                (AnswerReport(5, 1.5),),
             ),
         )
         assert decode_hello(encode_hello(hello)) == hello
@@ -54,7 +61,7 @@
             peers=tuple(f"10.1.0.{number}" for number in range(30)),
             suspects={key: 8.0 * draw.random() for key in keys},
             paces={key: 1.3 + draw.random() for key in keys},
-            limits={key: LimitNews(draw.random(), draw.random()) for key in keys},
+            limits={key: LimitReport(draw.random(), draw.random()) for key in keys},
         )
         data = encode_hello(hello)
         assert len(data) < 1400
--- a/packages/proxy/tests/test_placement_replay.py
+++ b/packages/proxy/tests/test_placement_replay.py
@@ -97,17 +97,17 @@
     REPORT_DELAY_S = 0.1
     SECONDS = 8.0
 
-    def overfilled(self, news_age_s: float) -> float:
+    def overfilled(self, update_age_s: float) -> float:
         """Return the share of short requests placed on an engine without a free slot.
 
         Parameters
         ----------
-        news_age_s
+        update_age_s
             Report age that the entries assume.
         """
         draw = random.Random(7)
         figures = FIGURES._replace(slots=self.SLOTS)
-        scatters = [Scatter(random.Random(n), news_age_s) for n in range(self.ENTRIES)]
+        scatters = [Scatter(random.Random(n), update_age_s) for n in range(self.ENTRIES)]
         placed: list[tuple[float, float, int, str]] = []
         overfilled_count = asked = 0
         now_s = 0.0
--- a/packages/proxy/tests/test_quarantine.py
+++ b/packages/proxy/tests/test_quarantine.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sassafrastally.proxy.crash_cases import (
+from sassafrastally.proxy.crash_records import (
     CRASH_KEPT_S,
     MAX_ANSWERS_SENT,
     MAX_CASES,
@@ -24,7 +24,7 @@
     QUARANTINE_S,
     Quarantine,
 )
-from sassafrastally.proxy.quarantine_news import NO_NEWS, VerdictNews
+from sassafrastally.proxy.quarantine_exchange import EMPTY_REPORT, VerdictReport
 
 HARMFUL, GOOD, OTHER = 1, 2, 3
 
@@ -50,7 +50,7 @@
             news = sender.news(now_s, is_full=is_full)
             for receiver in reached:
                 if receiver is not sender:
-                    receiver.take(news, now_s)
+                    receiver.apply(news, now_s)
 
     def quarantined(self, one: int, now_s: float) -> list[bool]:
         """Return for each entry whether a request is quarantined there."""
@@ -128,7 +128,7 @@
         for number in range(3):
             near.crash(100 + number, {number % 2: [HARMFUL]}, 10.0 + number * 0.1)
         relay, far = near.quarantines[2], Quarantine()
-        far.take(relay.news(10.3, is_full=False, includes_peers=True), 10.3)
+        far.apply(relay.news(10.3, is_full=False, includes_peers=True), 10.3)
         assert far.verdict(HARMFUL, 10.3) is not None
         assert far.crashes_under(HARMFUL, 10.3) == 3
 
@@ -193,16 +193,16 @@
         for server in range(3):
             first.note_crash(GOOD, server, 10.0, is_own=True)
         assert first.verdict(GOOD, 10.0) is not None
-        second.take(first.news(10.1, is_full=False), 10.1)
-        first.take(second.news(10.2, is_full=False), 10.2)
+        second.apply(first.news(10.1, is_full=False), 10.1)
+        first.apply(second.news(10.2, is_full=False), 10.2)
         assert first.verdict(GOOD, 10.2) is None
-        second.take(first.news(10.3, is_full=False), 10.3)
+        second.apply(first.news(10.3, is_full=False), 10.3)
         assert second.verdict(GOOD, 10.3) is None
 
     def test_verdict_received_before_its_crashes_is_refuted_by_them(self):
         quarantine = Quarantine()
         quarantine.note_answered(GOOD, 9.0)
-        assert quarantine.apply_verdict(VerdictNews(GOOD, 600.0, 3), 10.1) is not None
+        assert quarantine.apply_verdict(VerdictReport(GOOD, 600.0, 3), 10.1) is not None
         for server in range(3):
             quarantine.note_crash(GOOD, server, 10.2, age_s=0.2, is_own=False)
         assert quarantine.verdict(GOOD, 10.2) is None
@@ -284,7 +284,7 @@
     def test_lifted_verdict_is_not_accepted_again_from_a_peer(self):
         quarantine = self.quarantined()
         assert quarantine.lift(HARMFUL, 20.0)
-        received = VerdictNews(HARMFUL, 590.0, 3)
+        received = VerdictReport(HARMFUL, 590.0, 3)
         assert quarantine.apply_verdict(received, 20.5) is None
         assert quarantine.verdict(HARMFUL, 21.0) is None
 
@@ -292,8 +292,8 @@
         """A starting entry reads the verdict from the store and doesn't know its age. Guards
         against quarantining the request there for longer than at the others."""
         late = Quarantine()
-        late.apply_verdict(VerdictNews(HARMFUL, QUARANTINE_S, 3), 400.0)
-        late.take(self.quarantined().news(402.0, is_full=True), 402.0)
+        late.apply_verdict(VerdictReport(HARMFUL, QUARANTINE_S, 3), 400.0)
+        late.apply(self.quarantined().news(402.0, is_full=True), 402.0)
         assert late.verdict(HARMFUL, 402.0).until_s == pytest.approx(10.0 + QUARANTINE_S)
 
 
@@ -337,7 +337,7 @@
         quarantine = Quarantine()
         for number in range(100):
             quarantine.note_answered(number, 10.0)
-        assert quarantine.news(10.0, is_full=True) is NO_NEWS
+        assert quarantine.news(10.0, is_full=True) is EMPTY_REPORT
 
     def test_old_crashes_are_not_sent_and_then_removed(self):
         quarantine = Quarantine()
@@ -347,7 +347,7 @@
         assert quarantine.news(12.0, is_full=True).crashes
         assert not quarantine.news(10.0 + NEWS_REPEATED_S, is_full=True).crashes
         quarantine.forget_old(10.0 + CRASH_KEPT_S)
-        assert quarantine.news(11.0 + CRASH_KEPT_S, is_full=True) is NO_NEWS
+        assert quarantine.news(11.0 + CRASH_KEPT_S, is_full=True) is EMPTY_REPORT
 
 
 class TestPresumedCrashes:
@@ -388,11 +388,11 @@
         self.presumed(quarantine, 10.0)
         news = quarantine.news(10.1, is_full=False)
         assert not news.verdicts
-        (verdict,) = peer.take(news, 10.1)
+        (verdict,) = peer.apply(news, 10.1)
         assert verdict.is_presumed
         for server in (100, 101, 102):
             quarantine.note_crash(HARMFUL, server, 12.0, is_own=True)
-        peer.take(quarantine.news(12.1, is_full=False), 12.1)
+        peer.apply(quarantine.news(12.1, is_full=False), 12.1)
         assert not peer.verdict(HARMFUL, 12.1).is_presumed
 
     def test_do_not_explain_certain_crashes(self):
--- a/packages/proxy/tests/test_server_limits.py
+++ b/packages/proxy/tests/test_server_limits.py
@@ -44,13 +44,13 @@
         """Guards against two entries that keep an ended limit by reporting it to each other."""
         first, second = ServerLimits(), ServerLimits()
         first.note_answer_limit(SERVER, 1.0, 0.0)
-        second.note_peer_limit(SERVER, first.news(0.0)[SERVER], 0.02)
+        second.note_peer_limit(SERVER, first.limits_to_send(0.0)[SERVER], 0.02)
         first.note_answer_limit(SERVER, None, 0.3)
         for turn in range(1, 400):
             now_s = 0.3 + turn * 0.1
             network_delay_s = 0.02
             for sender, receiver in ((first, second), (second, first)):
-                for key, news in sender.news(now_s).items():
+                for key, news in sender.limits_to_send(now_s).items():
                     receiver.note_peer_limit(key, news, now_s + network_delay_s)
         assert first.of(SERVER) is None
         assert second.of(SERVER) is None
@@ -60,7 +60,7 @@
         first, second = ServerLimits(), ServerLimits()
         first.note_answer_limit(SERVER, 1.0, 0.0)
         second.note_answer_limit(SERVER, 4.0, 2.0)
-        first.note_peer_limit(SERVER, second.news(2.1)[SERVER], 2.1)
+        first.note_peer_limit(SERVER, second.limits_to_send(2.1)[SERVER], 2.1)
         assert first.of(SERVER) == 4.0
 
     def test_older_limit_in_flight_does_not_replace_a_newer_one(self):
@@ -69,5 +69,5 @@
         first.note_answer_limit(SERVER, 1.0, 0.0)
         second.note_answer_limit(SERVER, 1.0, 0.0)
         second.note_answer_limit(SERVER, None, 0.01)
-        second.note_peer_limit(SERVER, first.news(0.0)[SERVER], 0.02)
+        second.note_peer_limit(SERVER, first.limits_to_send(0.0)[SERVER], 0.02)
         assert second.of(SERVER) is None
--- a/packages/proxy/tests/test_sharing.py
+++ b/packages/proxy/tests/test_sharing.py
@@ -9,9 +9,15 @@
 
 from sassafrastally.proxy.load import Flight, Lane, Ledger, Work
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
-from sassafrastally.proxy.peer_table import SUM_WAY_S, PeerTable
-from sassafrastally.proxy.sharing import MAX_DIRECT_PEERS, RELAYS, Member, is_first, is_news_afar
-from sassafrastally.proxy.watch_duty import WATCHERS, OtherEntry, has_duty
+from sassafrastally.proxy.peer_table import RELAY_DELAY_S, PeerTable
+from sassafrastally.proxy.sharing import (
+    MAX_DIRECT_PEERS,
+    RELAYS,
+    Member,
+    is_ranked_first,
+    is_urgent_for_sums,
+)
+from sassafrastally.proxy.store_watchers import WATCHERS, WatchCandidate, must_watch_store
 
 STEP_S = 0.25
 """Interval between two rounds of datagrams when nothing changes."""
@@ -65,7 +71,7 @@
         """Give all entries all addresses, as a starting entry reads them from the store."""
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.table.know(other.host, other.data_centre, self.now_s)
+                node.table.add_address(other.host, other.data_centre, self.now_s)
 
     def run_rounds(self, rounds: int) -> None:
         """Let all entries send that many rounds of datagrams."""
@@ -80,12 +86,12 @@
         receivers = node.table.receivers(self.now_s)
         names = tuple(peer.host for peer in node.table.live(self.now_s))
         own = node.hello(names)
-        self._deliver(node, receivers.own, own)
-        if receivers.of_sum:
-            entry = OtherEntry(node.host, own.store_age_s, node.link_mbps)
-            report = node.table.sum_of_centre(node.hello(()), entry, self.now_s)
-            near = (peer.host for peer in node.table.near(self.now_s))
-            self._deliver(node, receivers.of_sum, report._replace(peers=(node.host, *near)))
+        self._deliver(node, receivers.own_state_receivers, own)
+        if receivers.sum_receivers:
+            entry = WatchCandidate(node.host, own.store_age_s, node.link_mbps)
+            report = node.table.data_centre_sum(node.hello(()), entry, self.now_s)
+            near = (peer.host for peer in node.table.local_peers(self.now_s))
+            self._deliver(node, receivers.sum_receivers, report._replace(peers=(node.host, *near)))
 
     def _deliver(self, sender: Node, hosts: tuple[str, ...], hello: Hello) -> None:
         data = encode_hello(hello)
@@ -98,7 +104,7 @@
                 continue
             if other.data_centre != sender.data_centre:
                 self.far_bytes += len(data)
-            other.table.take(decode_hello(data), self.now_s)
+            other.table.apply(decode_hello(data), self.now_s)
 
     def seen_by(self, node: Node) -> Work:
         """Return the sum of all work that is reported to an entry."""
@@ -173,7 +179,7 @@
         """An entry starts while the store is unavailable and knows only one entry of its centre."""
         new_node = Node(68, 5)
         large.nodes[new_node.host] = new_node
-        new_node.table.know("10.3.0.3", new_node.data_centre, large.now_s)
+        new_node.table.add_address("10.3.0.3", new_node.data_centre, large.now_s)
         large.run_rounds(10)
         assert large.all_see_all()
 
@@ -193,19 +199,21 @@
         watching = [
             node.host
             for node in large.alive()
-            if has_duty(
-                OtherEntry(node.host, 0.2, node.link_mbps),
-                node.table.others_at_the_store(large.now_s),
+            if must_watch_store(
+                WatchCandidate(node.host, 0.2, node.link_mbps),
+                node.table.watch_candidates(large.now_s),
             )
         ]
         assert len(watching) == WATCHERS
 
     def test_watcher_in_another_data_centre_counts_while_its_report_is_in_flight(self):
-        watcher = OtherEntry("10.0.0.1", 1.8, 200)
-        own = OtherEntry("10.0.0.2", 0.1, 20)
+        watcher = WatchCandidate("10.0.0.1", 1.8, 200)
+        own = WatchCandidate("10.0.0.2", 0.1, 20)
         watchers = [watcher, watcher._replace(host="10.0.0.3")]
-        assert has_duty(own, watchers)
-        assert not has_duty(own, [entry._replace(way_s=SUM_WAY_S) for entry in watchers])
+        assert must_watch_store(own, watchers)
+        assert not must_watch_store(
+            own, [entry._replace(relay_delay_s=RELAY_DELAY_S) for entry in watchers]
+        )
 
 
 class TestFewEntries:
@@ -226,9 +234,9 @@
         """Two entries of different data centres place a long prompt within 0.1 s of each other.
         Each uses 17 engines that it considers idle; on engines used by both, one prompt waits."""
         reading = {7: Work(long_requests=1, reading_requests=1, reading_ms=900.0)}
-        assert is_news_afar({}, reading)
-        assert not is_news_afar(reading, reading)
-        assert not is_news_afar({}, {7: Work(short_requests=1, reading_ms=30.0)})
+        assert is_urgent_for_sums({}, reading)
+        assert not is_urgent_for_sums(reading, reading)
+        assert not is_urgent_for_sums({}, {7: Work(short_requests=1, reading_ms=30.0)})
 
     async def test_peers_are_notified_of_a_long_prompt_at_once(self):
         ledger = Ledger()
@@ -248,7 +256,7 @@
         chosen = [
             own.host
             for own in members
-            if is_first(own, [other for other in members if other is not own], RELAYS)
+            if is_ranked_first(own, [other for other in members if other is not own], RELAYS)
         ]
         assert set(chosen) - {"h0"} == {"h1", "h2"}
         assert len(set(chosen) - {"h0"}) == RELAYS
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -41,7 +41,7 @@
 
 MOST_ATTEMPTS = 2
 
-NEWS_WAY_S = 0.02
+DATAGRAM_LATENCY_S = 0.02
 """Time that a datagram takes from entry to entry."""
 
 
@@ -166,9 +166,9 @@
             seen = entry.ledger.urgent_count
             work = entry.ledger.work(trio.current_time())
             told = {server_hash(life_id): of_one for life_id, of_one in work.items()}
-            await trio.sleep(NEWS_WAY_S)
+            await trio.sleep(DATAGRAM_LATENCY_S)
             entry.told = told
-            with trio.move_on_after(gap_s - NEWS_WAY_S):
+            with trio.move_on_after(gap_s - DATAGRAM_LATENCY_S):
                 await entry.ledger.urgent_since(seen)
 
     async def _call(self, arrival: Arrival) -> None:
@@ -197,7 +197,7 @@
             arrival.kind.goal_s,
             self._figures,
             self._limits,
-            Scatter(entry.random, self._deployment.news_gap_s + NEWS_WAY_S),
+            Scatter(entry.random, self._deployment.news_gap_s + DATAGRAM_LATENCY_S),
         )
 
     def views(self, entry: _Entry, tried: set[str]) -> list[ServerView]:
--- a/packages/testing/tests/platform/test_engines_in_trouble.py
+++ b/packages/testing/tests/platform/test_engines_in_trouble.py
@@ -8,8 +8,8 @@
 import trio
 
 from sassafrastally.proxy.attempt import AttemptNotRun
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.path import RequestPath
-from sassafrastally.proxy.sight import Sight
 from sassafrastally.stand_ins.documents import make_configuration, make_route
 from sassafrastally.stand_ins.platform_fleet import failure_causes, until
 
@@ -49,7 +49,7 @@
         timed out as well.
         """
         kernel = small_fleet.kernels[0]
-        sight = kernel.get("sight", Sight)
+        fleet_view = kernel.get("sight", FleetView)
         engines = [replica.engine for replica in small_fleet.replicas.values() if replica.engine]
         for engine in engines:
             engine.is_stalled = True
@@ -59,7 +59,7 @@
                 nursery.start_soon(partial(small_fleet.call, path, prompt="1000,340"))
         unfinished = [arrival for arrival in small_fleet.arrivals() if arrival.finished_s is None]
         assert len(unfinished) >= 4
-        assert sight.suspicion.suspects(kernel.clock.now_s()) == {}
+        assert fleet_view.suspicion.suspects(kernel.clock.now_s()) == {}
 
     async def test_engine_without_reports_is_suspected_before_it_gets_a_request(self, small_fleet):
         """Guards against detecting an unresponsive engine only by requests.
@@ -67,9 +67,9 @@
         Each entry would lose two prompts to the engine, which wait for more than 1 s each.
         """
         kernel = small_fleet.kernels[0]
-        sight = kernel.get("sight", Sight)
+        fleet_view = kernel.get("sight", FleetView)
         small_fleet.replicas["engine-1"].ignores_report_calls = True
-        await until(lambda: "engine-1" in sight.suspicion.suspects(kernel.clock.now_s()), 5.0)
+        await until(lambda: "engine-1" in fleet_view.suspicion.suspects(kernel.clock.now_s()), 5.0)
         await small_fleet.call("/note/x", prompt="1000,34")
         assert not small_fleet.replicas["engine-1"].seen
 
@@ -86,7 +86,7 @@
             return sum(record["name"] == "ReportFailed" for record in kernel.events.records())
 
         await until(lambda: failures() >= 5, 9.0)
-        assert kernel.get("sight", Sight).suspicion.suspects(kernel.clock.now_s()) == {}
+        assert kernel.get("sight", FleetView).suspicion.suspects(kernel.clock.now_s()) == {}
 
 
 class TestSlowHelpers:
@@ -145,7 +145,7 @@
         for number in range(3, 9):
             await small_fleet.add_replica(f"engine-{number}")
         kernel = small_fleet.kernels[0]
-        path, sight = kernel.get("path", RequestPath), kernel.get("sight", Sight)
+        path, fleet_view = kernel.get("path", RequestPath), kernel.get("sight", FleetView)
         hold = path.services.reservations.hold
         attempts = []
 
@@ -157,7 +157,7 @@
                 assert placed["name"] == "RequestPlaced"
                 helper = small_fleet.replicas[placed["fields"]["helpers"][0]]
                 helper.engine.pace = 20.0
-                await until(sight.paces, 5.0)
+                await until(fleet_view.paces, 5.0)
                 await trio.sleep(0.5)
                 failure = AttemptNotRun("no memory")
                 failure.is_servers_fault = False
@@ -190,7 +190,7 @@
         for number in range(3, 13):
             await small_fleet.add_replica(f"engine-{number}")
         kernel = small_fleet.kernels[0]
-        await until(lambda: len(kernel.get("sight", Sight).views("engines", set())) == 12)
+        await until(lambda: len(kernel.get("sight", FleetView).views("engines", set())) == 12)
         small_fleet.store.is_silent = True
         await trio.sleep(2.2)
         for number in (4, 7, 10):
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -9,14 +9,14 @@
 
 from sassafrastally.platform.adapter import PlatformDialect
 from sassafrastally.proxy import answering, pool
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.daemon import make_kernel
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.load import Flight, Lane
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peer_messages import encode_delta
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.sharing import link_rank
-from sassafrastally.proxy.sight import Sight
 from sassafrastally.stand_ins.documents import make_configuration, make_route
 from sassafrastally.stand_ins.platform_fleet import until
 from sassafrastally.stand_ins.requests import exchange_on, request_fields
@@ -24,7 +24,7 @@
 
 def version_of(kernel) -> int:
     """Return the version of an entry's active configuration, or 0."""
-    configuration = kernel.get("beliefs", Beliefs).configuration
+    configuration = kernel.get("beliefs", ClusterState).configuration
     return configuration.version if configuration else 0
 
 
@@ -52,11 +52,11 @@
             nursery.start_soon(
                 exchange_on, connection, "POST", "/note/x", request_fields(prompt="900,34000"), b""
             )
-            sight = second.get("sight", Sight)
-            await until(lambda: sight.work().at("engine-1").short_requests == 1)
+            fleet_view = second.get("sight", FleetView)
+            await until(lambda: fleet_view.work().at("engine-1").short_requests == 1)
             nursery.cancel_scope.cancel()
         await connection.close()
-        await until(lambda: sight.work().at("engine-1").short_requests == 0)
+        await until(lambda: fleet_view.work().at("engine-1").short_requests == 0)
         assert replica.engine.running == 0
         assert first.get("peers", Peers).live_count() == 1
 
@@ -70,10 +70,10 @@
             await fleet.add_replica(f"engine-{number}")
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
         await until(lambda: second.get("peers", Peers).live_count() == 1)
-        dead = first.get("beliefs", Beliefs).server("engine-1")
-        first.get("sight", Sight).note_failure(dead, "nobody answers", "r", is_clear=True)
-        sight = second.get("sight", Sight)
-        await until(lambda: len(sight.views("engines", set())) == 1)
+        dead = first.get("beliefs", ClusterState).server("engine-1")
+        first.get("sight", FleetView).note_failure(dead, "nobody answers", "r", is_clear=True)
+        fleet_view = second.get("sight", FleetView)
+        await until(lambda: len(fleet_view.views("engines", set())) == 1)
 
 
 class TestConfiguration:
@@ -187,8 +187,8 @@
         small_fleet.store.remove("servers/desk-1")
         small_fleet.store.forget_history()
         small_fleet.store.refuses_with = 0
-        beliefs = small_fleet.kernels[0].get("beliefs", Beliefs)
-        await until(lambda: beliefs.server("desk-1") is None, 5.0)
+        cluster_state = small_fleet.kernels[0].get("beliefs", ClusterState)
+        await until(lambda: cluster_state.server("desk-1") is None, 5.0)
 
     async def test_draining_server_gets_no_new_requests(self, small_fleet):
         replica = small_fleet.replicas["desk-1"]
@@ -226,16 +226,18 @@
         crashed one would occupy slots that are free.
         """
         kernel = small_fleet.kernels[0]
-        beliefs, sight = kernel.get("beliefs", Beliefs), kernel.get("sight", Sight)
+        cluster_state, fleet_view = kernel.get("beliefs", ClusterState), kernel.get(
+            "sight", FleetView
+        )
         self.restart(small_fleet, "engine-1")
-        await until(lambda: beliefs.server("engine-1").born_ms is not None)
-        previous = beliefs.server("engine-1")
+        await until(lambda: cluster_state.server("engine-1").born_ms is not None)
+        previous = cluster_state.server("engine-1")
         for _ in range(4):
-            sight.note_failure(previous, "nobody answers", "r", is_clear=True)
-        sight.ledger.add(Flight(previous.life_id, Lane.SHORT, {previous.life_id: 9_000}), 0.0)
+            fleet_view.note_failure(previous, "nobody answers", "r", is_clear=True)
+        fleet_view.ledger.add(Flight(previous.life_id, Lane.SHORT, {previous.life_id: 9_000}), 0.0)
         self.restart(small_fleet, "engine-1")
-        await until(lambda: beliefs.server("engine-1") != previous)
-        views = {view.server.server_id: view for view in sight.views("engines", set())}
+        await until(lambda: cluster_state.server("engine-1") != previous)
+        views = {view.server.server_id: view for view in fleet_view.views("engines", set())}
         assert not views["engine-1"].is_suspect
         assert views["engine-1"].work.tokens == 0
 
@@ -265,14 +267,14 @@
 
     async def test_connection_to_the_previous_incarnation_is_not_reused(self, small_fleet):
         kernel = small_fleet.kernels[0]
-        beliefs = kernel.get("beliefs", Beliefs)
+        cluster_state = kernel.get("beliefs", ClusterState)
         connections = kernel.get("path", RequestPath).services.attempts.pool
         for _ in range(4):
             await small_fleet.call("/look/x")
-        previous = beliefs.server("desk-1")
+        previous = cluster_state.server("desk-1")
         self.restart(small_fleet, "desk-1")
-        await until(lambda: beliefs.server("desk-1") != previous)
-        assert await connections.take(beliefs.server("desk-1")) is None
+        await until(lambda: cluster_state.server("desk-1") != previous)
+        assert await connections.take(cluster_state.server("desk-1")) is None
 
 
 class TestStoreCalls:
@@ -342,18 +344,18 @@
         """
         replica = await fleet.add_replica("desk-1", "desk")
         entries = [await fleet.add_entry(number) for number in (1, 2, 3)]
-        beliefs = [kernel.get("beliefs", Beliefs) for kernel in entries]
+        cluster_states = [kernel.get("beliefs", ClusterState) for kernel in entries]
         await until(lambda: all(k.get("peers", Peers).live_count() == 2 for k in entries))
         await trio.sleep(1.5)
         fleet.store.refuses_with = 503
         await trio.sleep(1.3)
         fleet.store.remove("servers/desk-1")
         fleet.store.refuses_with = 0
-        await until(lambda: all(belief.revision == fleet.store.revision for belief in beliefs))
-        assert all(belief.servers_of("desk") for belief in beliefs)
+        await until(lambda: all(state.revision == fleet.store.revision for state in cluster_states))
+        assert all(state.servers_of("desk") for state in cluster_states)
         fleet.store.put("servers/desk-1", replica.entry())
         await trio.sleep(2.2)
-        assert all(belief.servers_of("desk") for belief in beliefs)
+        assert all(state.servers_of("desk") for state in cluster_states)
 
 
 class TestRemovedServers:
@@ -372,13 +374,13 @@
         path = kernel.get("path", RequestPath)
         for number in (1, 2):
             await small_fleet.call("/look/x")
-            desk = kernel.get("beliefs", Beliefs).server(f"desk-{number}")
-            path.services.sight.note_failure(desk, "nobody answers", "r", is_clear=True)
+            desk = kernel.get("beliefs", ClusterState).server(f"desk-{number}")
+            path.services.fleet_view.note_failure(desk, "nobody answers", "r", is_clear=True)
         assert path.services.attempts.pool.idle_count() > 0
         for number in (1, 2):
             small_fleet.store.remove(f"servers/desk-{number}")
         await until(lambda: path.services.attempts.pool.idle_count() == 0, 7.0)
-        await until(lambda: not path.services.sight.suspicion.suspects(0.0), 1.0)
+        await until(lambda: not path.services.fleet_view.suspicion.suspects(0.0), 1.0)
 
 
 class TestShutdown:
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -9,7 +9,7 @@
 import trio
 
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.model import ServerAsks
 from sassafrastally.stand_ins.documents import make_configuration, make_route
 from sassafrastally.stand_ins.platform_fleet import RESTART_S, until
@@ -218,10 +218,10 @@
         """Guards against blaming in-flight requests for an exit that the server announced."""
         await start_fleet(fleet, entries=1, engines=8)
         backpressure = fleet.kernels[0].get("backpressure", Backpressure)
-        beliefs = fleet.kernels[0].get("beliefs", Beliefs)
+        cluster_state = fleet.kernels[0].get("beliefs", ClusterState)
 
         async def leave(replica) -> None:
-            server = beliefs.server(replica.server_id)
+            server = cluster_state.server(replica.server_id)
             backpressure.note_answer(server, ServerAsks(is_leaving=True))
             replica.crash()
 
--- a/packages/testing/tests/platform/test_quarantined_entries.py
+++ b/packages/testing/tests/platform/test_quarantined_entries.py
@@ -5,9 +5,9 @@
 import trio
 
 from sassafrastally.core import KvEvent
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.quarantining import Quarantining
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.stand_ins.platform_fleet import until
 from sassafrastally.testing.harmful_fleet import HARMFUL, assert_refused, quarantine, start_fleet
 
@@ -50,7 +50,7 @@
         fleet.store.refuses_with = 0
         second = await fleet.add_entry(2)
         fleet.store.refuses_with = 503
-        await until(lambda: second.get("quarantine", Quarantining).count == 1, 5.0)
+        await until(lambda: second.get("quarantine", QuarantineService).count == 1, 5.0)
         await assert_refused(fleet, 2)
 
     async def test_verdict_is_recorded_once_the_store_is_back(self, fleet):
@@ -98,7 +98,7 @@
                 nursery.start_soon(fleet.add_entry, number)
         peers = [kernel.get("peers", Peers) for kernel in fleet.kernels]
         await until(lambda: all(p.live_count() == self.ENTRIES - 1 for p in peers), 20.0)
-        await until(lambda: all(p.hears_sums() for p in peers), 10.0)
+        await until(lambda: all(p.receives_sums() for p in peers), 10.0)
         fleet.harmful_bodies.add(HARMFUL)
         await fleet.call("/note/x", entry=2, body=HARMFUL, prompt="1000,340")
         await trio.sleep(0.5)
@@ -131,10 +131,10 @@
         """
         await start_fleet(fleet, entries=1)
         (kernel,) = fleet.kernels
-        beliefs = kernel.get("beliefs", Beliefs)
-        key, revision = "quarantine/0123456789abcdef", beliefs.revision
-        beliefs.apply([KvEvent(key, b'{"crashes": 3}', revision + 1)], revision + 1, "store")
-        beliefs.apply([KvEvent(key, None, revision + 2)], revision + 2, "store")
+        cluster_state = kernel.get("beliefs", ClusterState)
+        key, revision = "quarantine/0123456789abcdef", cluster_state.revision
+        cluster_state.apply([KvEvent(key, b'{"crashes": 3}', revision + 1)], revision + 1, "store")
+        cluster_state.apply([KvEvent(key, None, revision + 2)], revision + 2, "store")
         await trio.sleep(0.1)
         assert (await fleet.call("/look/x")).status == 200
 
@@ -144,6 +144,6 @@
         fleet.store.put("quarantine/0123456789abcdef", b'{"crashes": "many"}')
         await trio.sleep(0.2)
         (kernel,) = fleet.kernels
-        assert kernel.get("quarantine", Quarantining).count == 0
+        assert kernel.get("quarantine", QuarantineService).count == 0
         rejected = [r for r in kernel.events.records() if r["name"] == "DocumentRejected"]
         assert len(rejected) == 2
