--- a/packages/proxy/src/sassafrastally/proxy/attempt.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt.py
@@ -37,11 +37,11 @@
 class AttemptNotRun(CodedError):
     """The backend server has not run the request and never will."""
 
-    server_at_fault: Address | None = None
+    failed_server_address: Address | None = None
     """Address of another backend server that caused the failure."""
     is_unreachable = False
     """Whether no connection could be opened, so that nothing was sent."""
-    is_servers_fault = True
+    counts_against_server = True
     """Whether the failure counts against the server that was called."""
 
 
@@ -49,7 +49,7 @@
 class AttemptUnknown(CodedError):
     """The attempt got no complete response; the request may have run."""
 
-    is_silence = False
+    is_timeout = False
     """Whether the only failure was a timeout."""
 
 
@@ -113,7 +113,7 @@
         return body
 
 
-class Attempts:
+class AttemptSender:
     """Sends requests to backend servers."""
 
     def __init__(self, dialect: Dialect, pool: ConnectionPool) -> None:
@@ -234,7 +234,7 @@
         while True:
             event = await _receive(connection)
             if isinstance(event, h11.Response):
-                facts = self._dialect.read_answer(event.status_code, list(event.headers))
+                facts = self._dialect.decode_response(event.status_code, list(event.headers))
                 self.on_answer(server, facts.asks)
                 return Answer(connection, event, facts)
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
@@ -244,7 +244,7 @@
 def _timeout_error() -> AttemptUnknown:
     """Return the error for an attempt that timed out waiting for data."""
     error = AttemptUnknown(TIMEOUT_DETAIL)
-    error.is_silence = True
+    error.is_timeout = True
     return error
 
 
@@ -263,9 +263,9 @@
     with trio.move_on_after(0.1):
         await answer.read()
     refusal = AttemptNotRun(f"rejected by the server with status {answer.status}")
-    refusal.server_at_fault = answer.facts.server_at_fault
+    refusal.failed_server_address = answer.facts.failed_server_address
     # Asking for a cool-down is no more a sign of a fault than being at capacity.
-    refusal.is_servers_fault = not answer.facts.asks.cool_down_s
+    refusal.counts_against_server = not answer.facts.asks.cool_down_s
     return refusal
 
 
--- a/packages/proxy/src/sassafrastally/proxy/callers.py
+++ b/packages/proxy/src/sassafrastally/proxy/caller_listener.py
@@ -62,7 +62,7 @@
     problem: str
 
 
-class Callers(Service):
+class CallerListener(Service):
     """Accepts caller connections and serves their requests.
 
     Parameters
@@ -267,7 +267,7 @@
             else:
                 raise ConnectionLost("connection closed before the end of the request")
         try:
-            facts = self._dialect.read_request(headers)
+            facts = self._dialect.decode_request(headers)
         except DocumentInvalid as cause:
             return BadRequest(MALFORMED, cause.detail)
         return Request(head.method, head.target, headers, bytes(body), facts, arrived_s)
@@ -275,7 +275,7 @@
     async def _reject(self, reply: Reply, rejected: BadRequest) -> None:
         self.kernel.events.emit(RequestMalformed(rejected.refusal.status, rejected.problem))
         body = refusal_body(rejected.refusal, "", rejected.problem)
-        await reply.whole(
+        await reply.send_complete(
             rejected.refusal.status,
             [(b"content-type", b"application/problem+json"), (b"connection", b"close")],
             body,
--- a/packages/proxy/src/sassafrastally/proxy/daemon.py
+++ b/packages/proxy/src/sassafrastally/proxy/daemon.py
@@ -8,13 +8,13 @@
 import trio
 
 from sassafrastally.core import Clock, Kernel
-from sassafrastally.proxy.answering import Answering
-from sassafrastally.proxy.attempt import Attempts
+from sassafrastally.proxy.attempt import AttemptSender
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.budget import RetryBudget
-from sassafrastally.proxy.callers import Callers
+from sassafrastally.proxy.caller_listener import CallerListener
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fleet_view import FleetView
+from sassafrastally.proxy.internal_endpoints import InternalEndpoints
 from sassafrastally.proxy.load import Ledger
 from sassafrastally.proxy.log_events import SettingsRejected, SettingsReloaded
 from sassafrastally.proxy.path import RequestPath
@@ -43,7 +43,7 @@
     kernel = Kernel(settings.vm, settings.data_centre, Clock())
     bounds = settings.bounds
     ledger = Ledger()
-    budget = RetryBudget(bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s)
+    budget = RetryBudget(bounds.retry_ratio, bounds.retry_burst, bounds.retry_window_s)
     pool = ConnectionPool()
     kernel.add(ClusterState(dialect))
     kernel.add(StoreWatch(store))
@@ -52,9 +52,9 @@
     kernel.add(FleetView(ledger))
     kernel.add(QuarantineService(dialect, store))
     kernel.add(EngineReports(settings, dialect))
-    kernel.add(RequestPath(dialect, Attempts(dialect, pool), budget))
-    kernel.add(Callers(settings, dialect, listener))
-    kernel.add(Answering(settings))
+    kernel.add(RequestPath(dialect, AttemptSender(dialect, pool), budget))
+    kernel.add(CallerListener(settings, dialect, listener))
+    kernel.add(InternalEndpoints(settings))
     return kernel
 
 
--- a/packages/proxy/src/sassafrastally/proxy/dialect.py
+++ b/packages/proxy/src/sassafrastally/proxy/dialect.py
@@ -56,7 +56,7 @@
 
     keys: StoreKeys
 
-    def read_request(self, headers: Headers) -> RequestFacts:
+    def decode_request(self, headers: Headers) -> RequestFacts:
         """Return the routing information of a caller's request; raises `DocumentInvalid`."""
         ...
 
@@ -64,15 +64,15 @@
         """Return the header fields to send to a backend server for a caller's request."""
         ...
 
-    def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
+    def decode_response(self, status: int, headers: Headers) -> AnswerFacts:
         """Return the information that the header of a backend server's response holds."""
         ...
 
-    def answer_headers(self, headers: Headers) -> Headers:
+    def response_headers(self, headers: Headers) -> Headers:
         """Return the header fields of a backend server's response to forward to the caller."""
         ...
 
-    def retry_after(self, delay_s: float) -> tuple[bytes, bytes]:
+    def retry_after_header(self, delay_s: float) -> tuple[bytes, bytes]:
         """Return the header field that tells the caller when to retry."""
         ...
 
@@ -84,24 +84,24 @@
         """Parse a backend server's registry entry; raises `DocumentInvalid`."""
         ...
 
-    def reserve_call(
+    def make_reserve_call(
         self, server: BackendServer, reservation_id: str, tokens: int, hold_s: float
     ) -> Call:
         """Return the call that reserves memory or renews a reservation."""
         ...
 
-    def release_call(self, server: BackendServer, reservation_id: str) -> Call:
+    def make_release_call(self, server: BackendServer, reservation_id: str) -> Call:
         """Return the call that releases a reservation."""
         ...
 
-    def read_reservation(self, status: int, body: bytes) -> ReservationOutcome:
+    def decode_reservation(self, status: int, body: bytes) -> ReservationOutcome:
         """Return the outcome of a call that reserves memory."""
         ...
 
-    def report_call(self, server: BackendServer) -> Call:
+    def make_report_call(self, server: BackendServer) -> Call:
         """Return the call that requests an engine's status report."""
         ...
 
-    def read_report(self, status: int, body: bytes) -> EngineReport:
+    def decode_report(self, status: int, body: bytes) -> EngineReport:
         """Parse an engine's status report; raises `DocumentInvalid`."""
         ...
--- a/packages/proxy/src/sassafrastally/proxy/answering.py
+++ b/packages/proxy/src/sassafrastally/proxy/internal_endpoints.py
@@ -9,7 +9,7 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.callers import Callers
+from sassafrastally.proxy.caller_listener import CallerListener
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
@@ -24,13 +24,13 @@
 
     from sassafrastally.proxy.settings import ProxySettings
 
-    RequestHandler = Callable[[str], tuple[int, bytes]]
+    EndpointHandler = Callable[[str], tuple[int, bytes]]
 
 IDLE_TIME_S = 30.0
 """Idle timeout of a connection."""
 
 
-class Answering(Service):
+class InternalEndpoints(Service):
     """Serves readiness checks, metrics scrapes and the change requests of peers."""
 
     name: ClassVar[str] = "answering"
@@ -44,7 +44,7 @@
         """Start listening on the ports for readiness checks, peers and metrics."""
         self._backpressure = self.kernel.get("backpressure", Backpressure)
         self._cluster_state = self.kernel.get("beliefs", ClusterState)
-        self._callers = self.kernel.get("callers", Callers)
+        self._caller_listener = self.kernel.get("callers", CallerListener)
         self._fleet_view = self.kernel.get("sight", FleetView)
         self._quarantine = self.kernel.get("quarantine", QuarantineService)
         start_metrics()
@@ -62,7 +62,7 @@
         isn't ready.
         """
         reason = "serving"
-        if self._callers.is_stopping:
+        if self._caller_listener.is_stopping:
             reason = "stopping"
         elif self._cluster_state.configuration is None:
             reason = "no configuration is known"
@@ -93,13 +93,13 @@
             "quarantined_requests": self._quarantine.count,
             "suspected_servers": len(self._fleet_view.suspicion.suspects(now_s)),
             "peers": self._fleet_view.entries - 1,
-            "open_requests": self._callers.open_requests,
+            "open_requests": self._caller_listener.open_requests,
             "attempts_in_progress": len(self._fleet_view.ledger),
             **self._backpressure.gauges(),
         }
 
     async def _listen(
-        self, nursery: trio.Nursery, host: str, port: int, handler: RequestHandler
+        self, nursery: trio.Nursery, host: str, port: int, handler: EndpointHandler
     ) -> None:
         listeners = await trio.open_tcp_listeners(port, host=host)
 
@@ -109,7 +109,7 @@
         nursery.start_soon(trio.serve_listeners, serve, listeners)
 
 
-async def _serve(stream: trio.abc.Stream, handler: RequestHandler) -> None:
+async def _serve(stream: trio.abc.Stream, handler: EndpointHandler) -> None:
     enable_keepalive(stream)
     connection = HttpStream(stream, h11.SERVER)
     try:
@@ -120,7 +120,7 @@
                 if target is None:
                     return
                 status, body = handler(target)
-                await Reply(connection, lambda: False).whole(status, [], body)
+                await Reply(connection, lambda: False).send_complete(status, [], body)
                 if connection.http.our_state is not h11.DONE:
                     return
                 connection.http.start_next_cycle()
--- a/packages/proxy/src/sassafrastally/proxy/model.py
+++ b/packages/proxy/src/sassafrastally/proxy/model.py
@@ -220,7 +220,7 @@
     request_id: str | None
     """ID of the request that the response belongs to; ``None`` if not given."""
     load: ServerLoad | None
-    server_at_fault: Address | None
+    failed_server_address: Address | None
     """Address of another backend server that caused the request to fail."""
     asks: ServerAsks = NOTHING_ASKED
 
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -7,17 +7,15 @@
 import trio
 
 from sassafrastally.core import Service
-from sassafrastally.proxy.answer_services import AnswerServices
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.crash_detector import CrashDetector
 from sassafrastally.proxy.fingerprint import fingerprint_text, request_fingerprint
 from sassafrastally.proxy.fleet_view import FleetView
-from sassafrastally.proxy.generation import Generation
 from sassafrastally.proxy.log_events import CallerLeft, RequestFailed, RequestRefused, StreamBroken
 from sassafrastally.proxy.metrics import REFUSALS, REQUESTS
 from sassafrastally.proxy.model import RouteKind
-from sassafrastally.proxy.plain import PlainRequest
+from sassafrastally.proxy.plain_request import PlainRequestHandler
 from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reading_limits import KnownReadingLimits
 from sassafrastally.proxy.refusals import (
@@ -30,12 +28,14 @@
     Refusal,
     refusal_body,
 )
+from sassafrastally.proxy.request_services import RequestServices
 from sassafrastally.proxy.reservations import Reservations
 from sassafrastally.proxy.routes import UnknownKey, choose_service, find_customer
+from sassafrastally.proxy.streaming_request import StreamingRequestHandler
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
 
 if TYPE_CHECKING:
-    from sassafrastally.proxy.attempt import Attempts, Request
+    from sassafrastally.proxy.attempt import AttemptSender, Request
     from sassafrastally.proxy.budget import RetryBudget
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.model import Configuration, Customer, Route
@@ -72,10 +72,10 @@
     name: ClassVar[str] = "path"
     needs: ClassVar[tuple[str, ...]] = ("backpressure", "beliefs", "quarantine", "sight")
 
-    services: AnswerServices
+    services: RequestServices
     """Services shared by all request handlers; set in `start`."""
 
-    def __init__(self, dialect: Dialect, attempts: Attempts, budget: RetryBudget) -> None:
+    def __init__(self, dialect: Dialect, attempts: AttemptSender, budget: RetryBudget) -> None:
         self._dialect = dialect
         self._attempts = attempts
         self._budget = budget
@@ -88,8 +88,8 @@
         backpressure = self.kernel.get("backpressure", Backpressure)
         quarantine = self.kernel.get("quarantine", QuarantineService)
         self._attempts.on_answer = backpressure.note_answer
-        quarantine.on_verdict = fleet_view.waiting_attempts.give_up_request
-        self.services = AnswerServices(
+        quarantine.on_verdict = fleet_view.waiting_attempts.cancel_request
+        self.services = RequestServices(
             self.kernel,
             self._dialect,
             self._attempts,
@@ -149,7 +149,7 @@
             request, route, configuration, customer, service, _fingerprint(request, customer)
         )
         self._budget.count_request(service, request.arrived_s)
-        answerer = self._answerer(task, reply)
+        answerer = self._request_handler(task, reply)
         progress = answerer.progress
         local_reply: LocalReply | None = None
         with trio.move_on_at(task.deadline_s) as limit:
@@ -176,12 +176,14 @@
             request, reply, local_reply, route.name, progress.attempts, fingerprint
         )
 
-    def _answerer(self, task: RequestTask, reply: Reply) -> Generation | PlainRequest:
+    def _request_handler(
+        self, task: RequestTask, reply: Reply
+    ) -> StreamingRequestHandler | PlainRequestHandler:
         engine = task.configuration.services[task.service].engine
         prompt = task.request.facts.prompt
         if task.route.kind is RouteKind.STREAM and engine is not None and prompt is not None:
-            return Generation(self.services, task, reply, engine, prompt)
-        return PlainRequest(self.services, task, reply)
+            return StreamingRequestHandler(self.services, task, reply, engine, prompt)
+        return PlainRequestHandler(self.services, task, reply)
 
     def _record_unanswered(self, task: RequestTask, progress: Progress) -> None:
         """Record an attempt in flight when the caller disconnected or the deadline passed."""
@@ -242,9 +244,9 @@
     async def _send(self, request: Request, reply: Reply, local_reply: LocalReply) -> None:
         headers: Headers = [(b"content-type", b"application/problem+json")]
         if local_reply.retry_after_s is not None:
-            headers.append(self._dialect.retry_after(local_reply.retry_after_s))
+            headers.append(self._dialect.retry_after_header(local_reply.retry_after_s))
         body = refusal_body(local_reply.refusal, request.facts.request_id, local_reply.detail)
-        await reply.whole(local_reply.refusal.status, headers, body)
+        await reply.send_complete(local_reply.refusal.status, headers, body)
 
 
 def _fingerprint(request: Request, customer: Customer | None) -> int:
--- a/packages/proxy/src/sassafrastally/proxy/plain.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain_request.py
@@ -6,13 +6,13 @@
 
 import trio
 
-from sassafrastally.proxy.answerer import SERVER_ERROR_STATUS, Answerer
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.load import Flight, Lane
 from sassafrastally.proxy.log_events import RequestAnswered
 from sassafrastally.proxy.metrics import count_answer
 from sassafrastally.proxy.plain_placement import place_plain
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_SERVER, TURNED_AWAY
+from sassafrastally.proxy.request_handler import SERVER_ERROR_STATUS, RequestHandler
 from sassafrastally.proxy.task import LocalReply
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 hangs, enough time is left for a complete second attempt."""
 
 
-class WholeAnswer(NamedTuple):
+class BufferedResponse(NamedTuple):
     """A backend server's response with its complete body."""
 
     status: int
@@ -33,12 +33,12 @@
     server_id: str
 
 
-class PlainRequest(Answerer):
+class PlainRequestHandler(RequestHandler):
     """Handles one request with a plain service."""
 
     async def run(self) -> LocalReply | None:
         """Handle the request; return a local reply if there is no response."""
-        failed: WholeAnswer | None = None
+        failed: BufferedResponse | None = None
         while True:
             if (quarantined := self._quarantine_reply()) is not None and failed is None:
                 return quarantined
@@ -73,10 +73,10 @@
     def _has_untried_servers(self) -> bool:
         return bool(self._services.fleet_view.views(self._task.service, self.progress.tried))
 
-    def _should_retry(self, answer: WholeAnswer) -> bool:
+    def _should_retry(self, answer: BufferedResponse) -> bool:
         return answer.status >= SERVER_ERROR_STATUS and self._task.route.is_repeatable
 
-    async def _attempt(self, server: BackendServer) -> WholeAnswer | None:
+    async def _attempt(self, server: BackendServer) -> BufferedResponse | None:
         """Make one attempt; return the response, or ``None`` if there is none."""
         self._begin_attempt(server)
         begin_s = self._clock.now_s()
@@ -104,19 +104,21 @@
             return deadline_s + 1.0  # The deadline of the request still applies.
         return begin_s + FIRST_ATTEMPT_SHARE * (deadline_s - begin_s)
 
-    async def _exchange(self, server: BackendServer, begin_s: float) -> WholeAnswer:
+    async def _exchange(self, server: BackendServer, begin_s: float) -> BufferedResponse:
         task = self._task
         terms = self._attempt_terms(server, begin_s, task.request.facts.last_event_id)
         may_reuse = task.route.is_repeatable
-        async with self._services.attempts.send(task.request, terms, may_reuse=may_reuse) as answer:
+        async with self._services.attempt_sender.send(
+            task.request, terms, may_reuse=may_reuse
+        ) as answer:
             body = await answer.read()
-            return WholeAnswer(answer.status, answer.headers, body, server.server_id)
+            return BufferedResponse(answer.status, answer.headers, body, server.server_id)
 
-    async def _forward(self, answer: WholeAnswer) -> None:
+    async def _forward(self, answer: BufferedResponse) -> None:
         task = self._task
         elapsed_s = self._clock.now_s() - task.request.arrived_s
-        await self._reply.whole(
-            answer.status, self._services.dialect.answer_headers(answer.headers), answer.body
+        await self._reply.send_complete(
+            answer.status, self._services.dialect.response_headers(answer.headers), answer.body
         )
         count_answer(Lane.PLAIN, elapsed_s, 0.0, elapsed_s)
         self._emit(
--- a/packages/proxy/src/sassafrastally/proxy/reply.py
+++ b/packages/proxy/src/sassafrastally/proxy/reply.py
@@ -33,7 +33,7 @@
         self._connection = connection
         self._is_last = is_last
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a response with a complete body; raises `ConnectionLost`."""
         length = (b"content-length", str(len(body)).encode())
         response = self._response(status, [*_end_to_end_headers(headers), length])
--- a/packages/proxy/src/sassafrastally/proxy/reports.py
+++ b/packages/proxy/src/sassafrastally/proxy/reports.py
@@ -79,7 +79,7 @@
             for engine in self._engines_due(engines):
                 self._polled_s[engine.life_id] = self.kernel.clock.now_s()
                 self._nursery.start_soon(self._poll, engine)
-            self._fleet_view.waiting_attempts.tell(self._fleet_view.paces())
+            self._fleet_view.waiting_attempts.notify_slow_engines(self._fleet_view.paces())
 
     def _engines(self) -> list[BackendServer]:
         configuration = self._cluster_state.configuration
@@ -95,7 +95,7 @@
     def _engines_due(self, engines: list[BackendServer]) -> list[BackendServer]:
         now_s = self.kernel.clock.now_s()
         hosts = self._polling_hosts(engines)
-        doubted = self._fleet_view.waiting_attempts.doubted(now_s)
+        doubted = self._fleet_view.waiting_attempts.overdue_servers(now_s)
         paces = self._fleet_view.paces()
         due = []
         for engine in engines:
@@ -141,13 +141,13 @@
 
     async def _exchange(self, engine: BackendServer, request_id: str) -> None:
         client = self._calls.setdefault(engine.address, CallClient(engine.address))
-        call = self._dialect.report_call(engine)
+        call = self._dialect.make_report_call(engine)
         self._backpressure.count_request(engine, CallKind.REPORT)
         try:
             status, body = await client.exchange(
                 call.method, call.target, call.headers, call.body, REPORT_TIMEOUT_S
             )
-            report = self._dialect.read_report(status, body)
+            report = self._dialect.decode_report(status, body)
         except (AnswerLost, DocumentInvalid) as cause:
             self.kernel.events.emit(ReportFailed(engine.server_id, cause.detail, request_id))
             failures = self._failures.get(engine.life_id, 0) + 1
--- a/packages/proxy/src/sassafrastally/proxy/answerer.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_handler.py
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sassafrastally.proxy.answer_services import AnswerServices
     from sassafrastally.proxy.lanes import ServerView
     from sassafrastally.proxy.model import BackendServer, Helper
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.refusals import Refusal
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.request_services import RequestServices
 
 SERVER_ERROR_STATUS = 500
 """Lowest HTTP status that means that the backend server failed."""
@@ -36,7 +36,7 @@
 that this VM's network is broken rather than the servers."""
 
 
-class Answerer:
+class RequestHandler:
     """Handles one request by sending attempts to backend servers.
 
     Parameters
@@ -49,7 +49,7 @@
         Sends the response to the caller.
     """
 
-    def __init__(self, services: AnswerServices, task: RequestTask, reply: Reply) -> None:
+    def __init__(self, services: RequestServices, task: RequestTask, reply: Reply) -> None:
         self.progress = Progress()
         self._services = services
         self._task = task
@@ -189,11 +189,11 @@
         self._log_failure(server, begin_s, cause.detail, is_proved_not_run=True)
         # Only the helpers of this attempt can be at fault: a server that has since restarted at the
         # same address isn't.
-        at_fault = [helper for helper in helpers if helper.address == cause.server_at_fault]
+        at_fault = [helper for helper in helpers if helper.address == cause.failed_server_address]
         for helper in at_fault:
             reason = "reported as the cause by another server"
             self._services.fleet_view.note_refusal(helper, reason, self._request_id, is_clear=True)
-        if at_fault or not cause.is_servers_fault:
+        if at_fault or not cause.counts_against_server:
             return
         if cause.is_unreachable:
             self._services.fleet_view.note_failure(
@@ -212,7 +212,7 @@
         if isinstance(cause, str):
             fleet_view.note_failure(server, detail, self._request_id)
             crash_detector.note_unanswered(server, self._task)
-        elif cause.is_silence:
+        elif cause.is_timeout:
             fleet_view.note_silence(server, self._request_id)
             crash_detector.note_unanswered(server, self._task)
         else:
--- a/packages/proxy/src/sassafrastally/proxy/answer_services.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_services.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from sassafrastally.core import Kernel
-    from sassafrastally.proxy.attempt import Attempts
+    from sassafrastally.proxy.attempt import AttemptSender
     from sassafrastally.proxy.backpressure import Backpressure
     from sassafrastally.proxy.budget import RetryBudget
     from sassafrastally.proxy.crash_detector import CrashDetector
@@ -17,14 +17,14 @@
     from sassafrastally.proxy.reservations import Reservations
 
 
-class AnswerServices(NamedTuple):
+class RequestServices(NamedTuple):
     """Services shared by all request handlers."""
 
     kernel: Kernel
     """Clock, random number generator and log."""
     dialect: Dialect
     """Translates headers."""
-    attempts: Attempts
+    attempt_sender: AttemptSender
     """Sends requests to backend servers."""
     budget: RetryBudget
     """Retry budget shared by all requests."""
--- a/packages/proxy/src/sassafrastally/proxy/reservations.py
+++ b/packages/proxy/src/sassafrastally/proxy/reservations.py
@@ -135,15 +135,17 @@
                 nursery.start_soon(reserve, reservation)
         if any(outcome is not ReservationOutcome.HELD for outcome in outcomes):
             failure = AttemptNotRun("memory could not be reserved on all required engines")
-            failure.is_servers_fault = False
+            failure.counts_against_server = False
             raise failure
 
     async def _reserve(self, reservation: _Reservation) -> ReservationOutcome:
         holding, reservation_id = reservation
-        call = self._dialect.reserve_call(holding.server, reservation_id, holding.tokens, LEASE_S)
+        call = self._dialect.make_reserve_call(
+            holding.server, reservation_id, holding.tokens, LEASE_S
+        )
         try:
             status, body = await self._send(holding.server, call)
-            outcome = self._dialect.read_reservation(status, body)
+            outcome = self._dialect.decode_reservation(status, body)
         except AnswerLost:
             outcome = ReservationOutcome.UNKNOWN
         if outcome is not ReservationOutcome.HELD:
@@ -176,7 +178,7 @@
         holding, reservation_id = reservation
         if not self._backpressure.is_open(holding.server):
             return  # The server accepts no requests now; the lease expires.
-        call = self._dialect.release_call(holding.server, reservation_id)
+        call = self._dialect.make_release_call(holding.server, reservation_id)
         status = 0
         for _ in range(MAX_RELEASE_ATTEMPTS):
             try:
--- a/packages/proxy/src/sassafrastally/proxy/settings.py
+++ b/packages/proxy/src/sassafrastally/proxy/settings.py
@@ -7,7 +7,7 @@
 from sassafrastally.core import Address
 
 
-class Bounds(NamedTuple):
+class ProcessLimits(NamedTuple):
     """Time limits and ratios set by the deployment."""
 
     stop_time_s: float
@@ -16,7 +16,7 @@
     """Maximum number of retries that all entries together may send, as a share of requests."""
     retry_window_s: float
     """Window over which retries are counted."""
-    retry_extra: int
+    retry_burst: int
     """Number of retries per window that are allowed in addition to the share."""
 
 
@@ -35,4 +35,4 @@
     store_address: Address
     link_mbps: int
     """Network bandwidth of the VM, in megabits per second."""
-    bounds: Bounds
+    bounds: ProcessLimits
--- a/packages/proxy/src/sassafrastally/proxy/generation.py
+++ b/packages/proxy/src/sassafrastally/proxy/streaming_request.py
@@ -9,7 +9,6 @@
 import trio
 
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.answerer import SERVER_ERROR_STATUS, Answerer
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.event_stream import EventSplitter, StreamEvent
 from sassafrastally.proxy.lanes import Scatter, lane_of
@@ -22,6 +21,7 @@
 from sassafrastally.proxy.plan import most_prompt_tokens
 from sassafrastally.proxy.pools import stays_near
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_ROOM, NO_SERVER, TOO_LONG, TURNED_AWAY
+from sassafrastally.proxy.request_handler import SERVER_ERROR_STATUS, RequestHandler
 from sassafrastally.proxy.slowness import slow_event_time_s
 from sassafrastally.proxy.task import LocalReply, RequestTask
 from sassafrastally.proxy.turning_away import is_hopeless
@@ -30,38 +30,38 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from sassafrastally.proxy.answer_services import AnswerServices
     from sassafrastally.proxy.attempt import Answer
     from sassafrastally.proxy.lanes import ServerView
     from sassafrastally.proxy.model import EngineFigures, PromptSize
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.request_services import RequestServices
 
-PATIENCE_S = 2.0
-PATIENCE_GOALS = 4.0
-PATIENCE_PAUSES = 8.0
+CALLER_TIMEOUT_S = 2.0
+CALLER_TIMEOUT_GOALS = 4.0
+CALLER_TIMEOUT_PAUSES = 8.0
 """Callers close a stream after a silence of two seconds, four times the goal for the first event or
 eight times the goal for a pause, whichever is longest."""
 
-SILENCE_SHARE = 0.65
+SILENCE_TIMEOUT_SHARE = 0.65
 """Share of the caller's timeout after which an attempt at a silent engine is abandoned if another
 engine may be tried. The rest is left for the first event of the other engine."""
 
-LATE_FACTOR = 1.5
-LATEST_SHARE = 0.95
-"""Timeout for the first event: `LATE_FACTOR` times the predicted time, but no more than
-`LATEST_SHARE` of the caller's timeout."""
+FIRST_EVENT_TIMEOUT_FACTOR = 1.5
+MAX_FIRST_EVENT_TIMEOUT_SHARE = 0.95
+"""Timeout for the first event: `FIRST_EVENT_TIMEOUT_FACTOR` times the predicted time, but no more
+than `MAX_FIRST_EVENT_TIMEOUT_SHARE` of the caller's timeout."""
 
 MOVE_CHECK_INTERVAL_S = 0.3
 """Minimum interval between checks whether to move an attempt; reports bring new data as often."""
 
 
-class Generation(Answerer):
+class StreamingRequestHandler(RequestHandler):
     """Handles one streaming request with model engines."""
 
     def __init__(
         self,
-        services: AnswerServices,
+        services: RequestServices,
         task: RequestTask,
         reply: Reply,
         figures: EngineFigures,
@@ -175,14 +175,14 @@
             is_suspect=self._is_suspect(),
         )
         self._services.fleet_view.ledger.add(flight, begin_s)
-        waiting = trio.CancelScope(
+        cancel_scope = trio.CancelScope(
             deadline=trio.current_time() + self._first_event_timeout_s(placement)
         )
         attempt = WaitingAttempt(
             tuple(part.life_id for part in placement.parts),
             begin_s,
             placement.predicted_s,
-            waiting,
+            cancel_scope,
             self._move_if_faster,
             self._task.fingerprint,
         )
@@ -191,8 +191,8 @@
         except AttemptNotRun as cause:
             self._record_not_run(server, begin_s, cause, placement.helpers)
         except AttemptUnknown as cause:
-            if attempt.moving_reason:
-                self._record_abandoned(server, begin_s, attempt.moving_reason)
+            if attempt.cancel_reason:
+                self._record_abandoned(server, begin_s, attempt.cancel_reason)
             else:
                 await self._record_unknown(server, begin_s, cause)
         finally:
@@ -206,18 +206,18 @@
         helpers = tuple(Helper(server) for server in placement.helpers)
         terms = self._attempt_terms(placement.server, attempt.begin_s, self._last_event_id, helpers)
         with ExitStack() as until_begun:
-            until_begun.enter_context(self._services.fleet_view.waiting_attempts.hold(attempt))
+            until_begun.enter_context(self._services.fleet_view.waiting_attempts.register(attempt))
             async with (
                 self._services.reservations.hold(placement.holdings[1:]) as reserved,
-                self._services.attempts.send(
+                self._services.attempt_sender.send(
                     task.request,
                     terms._replace(helpers=_with_reservations(terms.helpers, reserved)),
                     may_reuse=task.route.is_repeatable,
-                    waiting=attempt.waiting,
+                    waiting=attempt.cancel_scope,
                 ) as answer,
             ):
                 until_begun.close()
-                attempt.moving_reason = ""  # The response began before the wait was cancelled.
+                attempt.cancel_reason = ""  # The response began before the wait was cancelled.
                 self._services.fleet_view.note_load(placement.server.life_id, answer.facts.load)
                 if answer.status >= 300:
                     return await self._forward_failure(placement, answer)
@@ -236,7 +236,7 @@
         if alternative and is_worth_moving(
             remaining_here_s, alternative.predicted_s, time_to_goal_s
         ):
-            attempt.give_up(
+            attempt.cancel(
                 f"an engine is {pace:.1f} times slower: {remaining_here_s:.2f} s more, "
                 f"{alternative.predicted_s:.2f} s elsewhere"
             )
@@ -248,22 +248,23 @@
         would be no faster. The attempt is therefore abandoned only well after the predicted time.
         """
         expected_s = min(
-            LATE_FACTOR * placement.predicted_s, LATEST_SHARE * self._caller_timeout_s()
+            FIRST_EVENT_TIMEOUT_FACTOR * placement.predicted_s,
+            MAX_FIRST_EVENT_TIMEOUT_SHARE * self._caller_timeout_s(),
         )
         return max(self._silence_timeout_s(), expected_s)
 
     def _silence_timeout_s(self) -> float:
         if not self._can_fail_over():
             return math.inf  # The deadline of the request still applies.
-        return SILENCE_SHARE * self._caller_timeout_s()
+        return SILENCE_TIMEOUT_SHARE * self._caller_timeout_s()
 
     def _caller_timeout_s(self) -> float:
         """Return the silence after which the caller closes the stream."""
         route = self._task.route
         return max(
-            PATIENCE_S,
-            PATIENCE_GOALS * (route.goal_s or 0.0),
-            PATIENCE_PAUSES * (route.pause_goal_s or 0.0),
+            CALLER_TIMEOUT_S,
+            CALLER_TIMEOUT_GOALS * (route.goal_s or 0.0),
+            CALLER_TIMEOUT_PAUSES * (route.pause_goal_s or 0.0),
         )
 
     async def _forward_failure(self, placement: Placement, answer: Answer) -> bool:
@@ -275,8 +276,8 @@
             raise AttemptUnknown(
                 f"the engine responded with status {answer.status} to a resumed stream"
             )
-        headers = self._services.dialect.answer_headers(answer.headers)
-        await self._reply.whole(answer.status, headers, body)
+        headers = self._services.dialect.response_headers(answer.headers)
+        await self._reply.send_complete(answer.status, headers, body)
         self._record_answered(placement, answer.status)
         return True
 
@@ -290,7 +291,7 @@
         """
         splitter = EventSplitter()
         if not self._reply.has_begun:
-            headers = self._services.dialect.answer_headers(answer.headers)
+            headers = self._services.dialect.response_headers(answer.headers)
             await self._reply.begin(answer.status, headers)
         slow_event_s = slow_event_time_s(self._figures)
         waiting_since_s = self._clock.now_s()
--- a/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
+++ b/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
@@ -25,7 +25,7 @@
         Start time of the attempt.
     predicted_s
         Time to the first event that was predicted at the start.
-    waiting
+    cancel_scope
         Cancel scope of the wait for the header of the answer.
     """
 
@@ -34,25 +34,25 @@
         life_ids: tuple[str, ...],
         begin_s: float,
         predicted_s: float,
-        waiting: trio.CancelScope,
+        cancel_scope: trio.CancelScope,
         on_slow: Callable[[WaitingAttempt, float], None],
         fingerprint: int,
     ) -> None:
         self.life_ids = life_ids
         self.begin_s = begin_s
         self.predicted_s = predicted_s
-        self.waiting = waiting
+        self.cancel_scope = cancel_scope
         self.on_slow = on_slow
         """Called repeatedly with the pace of the slowest engine while an engine is slow."""
         self.fingerprint = fingerprint
         """Identifies its request across the retries of its caller."""
-        self.moving_reason = ""
+        self.cancel_reason = ""
         """Why it was cancelled, to move its prompt or for good; empty if it wasn't."""
 
-    def give_up(self, reason: str) -> None:
+    def cancel(self, reason: str) -> None:
         """Cancel the wait, so that the prompt can be moved to other engines."""
-        self.moving_reason = reason
-        self.waiting.cancel()
+        self.cancel_reason = reason
+        self.cancel_scope.cancel()
 
 
 class WaitingAttempts:
@@ -62,7 +62,7 @@
         self._attempts: set[WaitingAttempt] = set()
 
     @contextmanager
-    def hold(self, attempt: WaitingAttempt) -> Iterator[None]:
+    def register(self, attempt: WaitingAttempt) -> Iterator[None]:
         """Register an attempt for notification of slow engines while the block runs."""
         self._attempts.add(attempt)
         try:
@@ -70,7 +70,7 @@
         finally:
             self._attempts.discard(attempt)
 
-    def doubted(self, now_s: float) -> set[str]:
+    def overdue_servers(self, now_s: float) -> set[str]:
         """Return the engines of attempts whose first event is overdue."""
         return {
             life_id
@@ -79,7 +79,7 @@
             for life_id in attempt.life_ids
         }
 
-    def give_up_request(self, fingerprint: int) -> None:
+    def cancel_request(self, fingerprint: int) -> None:
         """Cancel the attempts of a quarantined request that no server runs yet.
 
         Several callers can send the same request at once. An attempt that still waits for a slot
@@ -88,9 +88,9 @@
         """
         for attempt in list(self._attempts):
             if attempt.fingerprint == fingerprint:
-                attempt.give_up("its request is quarantined")
+                attempt.cancel("its request is quarantined")
 
-    def tell(self, paces: Mapping[str, float]) -> None:
+    def notify_slow_engines(self, paces: Mapping[str, float]) -> None:
         """Notify the attempts that wait for a part on a slow engine."""
         for attempt in list(self._attempts) if paces else ():
             pace = slowest(paces, attempt.life_ids)
--- a/packages/testing/src/sassafrastally/testing/experiment/variants.py
+++ b/packages/testing/src/sassafrastally/testing/experiment/variants.py
@@ -10,7 +10,7 @@
 
 import sassafrastally.proxy
 from sassafrastally.core.registry import Registry
-from sassafrastally.proxy import answerer, generation
+from sassafrastally.proxy import request_handler, streaming_request
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.quarantine import Quarantine
 
@@ -26,7 +26,9 @@
 
 @MECHANISMS.register("apart")
 def _no_dealing(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(answerer, "dealt_server", lambda views, *_: list(views)))
+    stack.enter_context(
+        patch.object(request_handler, "dealt_server", lambda views, *_: list(views))
+    )
 
 
 @MECHANISMS.register("quarantine")
@@ -41,7 +43,7 @@
 
 @MECHANISMS.register("near-first")
 def _no_near_first(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(generation, "stays_near", lambda *_: False))
+    stack.enter_context(patch.object(streaming_request, "stays_near", lambda *_: False))
 
 
 def variant_problems(
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -16,20 +16,20 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.generation import (
-    LATE_FACTOR,
-    LATEST_SHARE,
-    PATIENCE_GOALS,
-    PATIENCE_PAUSES,
-    PATIENCE_S,
-    SILENCE_SHARE,
-)
 from sassafrastally.proxy.lanes import Scatter, ServerView, lane_of
 from sassafrastally.proxy.load import Flight, Lane, Ledger, Work, merge, server_hash
 from sassafrastally.proxy.model import BackendServer, Route, RouteKind
 from sassafrastally.proxy.placement import place_request
 from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
 from sassafrastally.proxy.reading_limits import reading_limits
+from sassafrastally.proxy.streaming_request import (
+    CALLER_TIMEOUT_GOALS,
+    CALLER_TIMEOUT_PAUSES,
+    CALLER_TIMEOUT_S,
+    FIRST_EVENT_TIMEOUT_FACTOR,
+    MAX_FIRST_EVENT_TIMEOUT_SHARE,
+    SILENCE_TIMEOUT_SHARE,
+)
 from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
 from sassafrastally.stand_ins.passing_engine import Full, PassingEngine
 from sassafrastally.testing.load_arrivals import Arrival, Deployment, Kind
@@ -286,7 +286,11 @@
 
     def _patience_s(self) -> float:
         kind = self._arrival.kind
-        return max(PATIENCE_S, PATIENCE_GOALS * kind.goal_s, PATIENCE_PAUSES * kind.pause_goal_s)
+        return max(
+            CALLER_TIMEOUT_S,
+            CALLER_TIMEOUT_GOALS * kind.goal_s,
+            CALLER_TIMEOUT_PAUSES * kind.pause_goal_s,
+        )
 
     async def _try(self, placement: Placement, *, is_last: bool) -> bool:
         """Make one attempt; return whether the answer is whole."""
@@ -304,8 +308,11 @@
         patience_s = self._patience_s()
         limit_s = patience_s
         if not is_last:
-            expected_s = min(LATE_FACTOR * placement.predicted_s, LATEST_SHARE * patience_s)
-            limit_s = max(SILENCE_SHARE * patience_s, expected_s)
+            expected_s = min(
+                FIRST_EVENT_TIMEOUT_FACTOR * placement.predicted_s,
+                MAX_FIRST_EVENT_TIMEOUT_SHARE * patience_s,
+            )
+            limit_s = max(SILENCE_TIMEOUT_SHARE * patience_s, expected_s)
         try:
             with trio.move_on_after(limit_s) as silence:
                 return await self._run(placement, flight, silence, patience_s)
--- a/packages/testing/tests/platform/test_engines_in_trouble.py
+++ b/packages/testing/tests/platform/test_engines_in_trouble.py
@@ -160,7 +160,7 @@
                 await until(fleet_view.paces, 5.0)
                 await trio.sleep(0.5)
                 failure = AttemptNotRun("no memory")
-                failure.is_servers_fault = False
+                failure.counts_against_server = False
                 raise failure
             async with hold(holdings) as reserved:
                 yield reserved
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -8,7 +8,7 @@
 import trio
 
 from sassafrastally.platform.adapter import PlatformDialect
-from sassafrastally.proxy import answering, pool
+from sassafrastally.proxy import internal_endpoints, pool
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.daemon import make_kernel
 from sassafrastally.proxy.fleet_view import FleetView
@@ -154,7 +154,7 @@
             sent_bytes.append(len(body))
             return body
 
-        monkeypatch.setattr(answering, "encode_delta", count)
+        monkeypatch.setattr(internal_endpoints, "encode_delta", count)
         entries = [await fleet.add_entry(number) for number in range(1, self.ENTRIES + 1)]
         for number in range(1, self.ENTRIES + 1):
             host = fleet.entry_settings(number).host
@@ -268,7 +268,7 @@
     async def test_connection_to_the_previous_incarnation_is_not_reused(self, small_fleet):
         kernel = small_fleet.kernels[0]
         cluster_state = kernel.get("beliefs", ClusterState)
-        connections = kernel.get("path", RequestPath).services.attempts.pool
+        connections = kernel.get("path", RequestPath).services.attempt_sender.pool
         for _ in range(4):
             await small_fleet.call("/look/x")
         previous = cluster_state.server("desk-1")
@@ -376,10 +376,10 @@
             await small_fleet.call("/look/x")
             desk = kernel.get("beliefs", ClusterState).server(f"desk-{number}")
             path.services.fleet_view.note_failure(desk, "nobody answers", "r", is_clear=True)
-        assert path.services.attempts.pool.idle_count() > 0
+        assert path.services.attempt_sender.pool.idle_count() > 0
         for number in (1, 2):
             small_fleet.store.remove(f"servers/desk-{number}")
-        await until(lambda: path.services.attempts.pool.idle_count() == 0, 7.0)
+        await until(lambda: path.services.attempt_sender.pool.idle_count() == 0, 7.0)
         await until(lambda: not path.services.fleet_view.suspicion.suspects(0.0), 1.0)
 
 
--- a/packages/testing/tests/platform/test_malformed.py
+++ b/packages/testing/tests/platform/test_malformed.py
@@ -98,7 +98,7 @@
     )
     def test_fields_are_decoded_or_raise_a_typed_error(self, fields):
         try:
-            facts = PlatformDialect().read_request(fields)
+            facts = PlatformDialect().decode_request(fields)
         except DocumentInvalid:
             return
         assert facts.time_left_s is None or facts.time_left_s >= 0
@@ -234,7 +234,7 @@
     def test_report_with_any_value_is_one_or_a_typed_error(self, name, value):
         body = json.dumps({"pace": 1.0, "running": 2, "queued": 0, name: value}).encode()
         try:
-            report = PlatformDialect().read_report(200, body)
+            report = PlatformDialect().decode_report(200, body)
         except DocumentInvalid:
             return
         assert not report.pace < 1.0
@@ -254,6 +254,6 @@
             is_object = False
         if not is_object:
             with pytest.raises(DocumentInvalid):
-                PlatformDialect().read_report(200, data)
+                PlatformDialect().decode_report(200, data)
         elif data.strip() == b"{}":
-            assert PlatformDialect().read_report(200, data) == EngineReport(1.0, None)
+            assert PlatformDialect().decode_report(200, data) == EngineReport(1.0, None)
