--- a/packages/proxy/benchmarks/decisions.py
+++ b/packages/proxy/benchmarks/decisions.py
@@ -16,10 +16,10 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.lanes import Scatter, ServerView
-from sassafrastally.proxy.load import Lane, Work, merge, server_hash
+from sassafrastally.proxy.load import Lane, Work, merge_work, server_hash
 from sassafrastally.proxy.model import (
     BackendServer,
-    EngineFigures,
+    EngineProfile,
     PromptSize,
     Route,
     RouteKind,
@@ -28,24 +28,24 @@
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.placement import place_request
 from sassafrastally.proxy.pools import divide
-from sassafrastally.proxy.reading_limits import reading_limits
+from sassafrastally.proxy.prefill_limits import prefill_limits_for
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
 
 ROUNDS = 60
 
-FIGURES = EngineFigures(
+PROFILE = EngineProfile(
     slots=5,
     memory_tokens=405_000,
     step_ms=1.31,
     per_request_ms=0.0009,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_million=0.162,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_million_pairs=0.162,
     chunk_tokens=2048,
-    stride_steps=53,
-    hop_ms=0.1,
+    steps_per_pass=53,
+    distributed_step_overhead_ms=0.1,
 )
 
 PAUSES_S = (0.3, 0.8, 1.2)
@@ -76,9 +76,9 @@
     loads = []
     for entry in range(entries - 1):
         used = draw.sample(servers, 5)
-        works = {server_hash(server.life_id): Work(1, 0, 0, 0, 6000) for server in used}
+        works = {server_hash(server.incarnation_id): Work(1, 0, 0, 0, 6000) for server in used}
         if entry % 6 == 0:
-            works[server_hash(used[0].life_id)] = Work(0, 1, 1, 0, 260_000, 400.0)
+            works[server_hash(used[0].incarnation_id)] = Work(0, 1, 1, 0, 260_000, 400.0)
         loads.append(works)
     pools = divide(servers)
     return Fleet(servers, loads, pools.get("dc-0", servers))
@@ -88,8 +88,8 @@
     servers: Sequence[BackendServer], loads: Sequence[Mapping[int, Work]]
 ) -> list[ServerView]:
     """Return the known state of the engines for a decision."""
-    work = merge({}, loads)
-    return [ServerView(server, work.at(server.life_id)) for server in servers]
+    work = merge_work({}, loads)
+    return [ServerView(server, work.at(server.incarnation_id)) for server in servers]
 
 
 def median_ms(call: Callable[[], object]) -> float:
@@ -117,7 +117,7 @@
         Route("r", "h", "/", RouteKind.STREAM, shares, 10.0, 3.0, pause_s, 1, 2, False, True)
         for pause_s in PAUSES_S
     ]
-    limits = reading_limits(routes, FIGURES)
+    limits = prefill_limits_for(routes, PROFILE)
     scatter = Scatter(draw, 0.07)
     is_divided = fleet.near is not fleet.servers
     for name, (lane, prompt) in PROMPTS.items():
@@ -132,7 +132,7 @@
         ) -> object:
             seen = views(servers, fleet.loads)
             return place_request(
-                seen, lane, prompt, goal_s, FIGURES, limits, scatter, by_centre=is_divided
+                seen, lane, prompt, goal_s, PROFILE, limits, scatter, by_centre=is_divided
             )
 
         print(f"{name:16} {median_ms(decide):7.3f} ms")
--- a/packages/proxy/benchmarks/rate_shares.py
+++ b/packages/proxy/benchmarks/rate_shares.py
@@ -29,12 +29,16 @@
 STEP_S = 0.05
 
 
-def whole_limit(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
+def whole_limit(
+    incarnation_id: str, most_per_s: float, own_host: str, others: Collection[str]
+) -> float:
     """Return the whole limit: each entry applies it separately."""
     return most_per_s
 
 
-def equal_share(life_id: str, most_per_s: float, own_host: str, others: Collection[str]) -> float:
+def equal_share(
+    incarnation_id: str, most_per_s: float, own_host: str, others: Collection[str]
+) -> float:
     """Return an equal share for each entry."""
     return most_per_s / (1 + len(others))
 
--- a/packages/proxy/src/sassafrastally/proxy/apart.py
+++ b/packages/proxy/src/sassafrastally/proxy/apart.py
@@ -47,7 +47,7 @@
         crashed servers, the latest first.
     """
     unassigned = list(views)
-    taken_life_ids: set[str] = set()
+    taken_incarnation_ids: set[str] = set()
     """Servers assigned to requests with more crashes."""
     assignment_order = _assignment_order(fingerprint, suspects)
     has_repeated_suspects = sum(suspects[one] > 1 for one in assignment_order) > 1
@@ -65,8 +65,10 @@
             return [assigned]
         unassigned.remove(assigned)
         if suspects[one] > suspects[fingerprint]:
-            taken_life_ids.add(assigned.server.life_id)
-    return [view for view in views if view.server.life_id not in taken_life_ids] or list(views)
+            taken_incarnation_ids.add(assigned.server.incarnation_id)
+    return [
+        view for view in views if view.server.incarnation_id not in taken_incarnation_ids
+    ] or list(views)
 
 
 def _assignment_order(fingerprint: int, suspects: Mapping[int, int]) -> list[int]:
@@ -77,7 +79,7 @@
 
 def _rank(fingerprint: int, view: ServerView) -> int:
     """Return the rank of a server for a request, a mix of both hashes (rendezvous hashing)."""
-    mixed = (fingerprint ^ server_hash(view.server.life_id)) & UINT64_MASK
+    mixed = (fingerprint ^ server_hash(view.server.incarnation_id)) & UINT64_MASK
     mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9 & UINT64_MASK
     mixed = (mixed ^ (mixed >> 27)) * 0x94D049BB133111EB & UINT64_MASK
     return mixed ^ (mixed >> 31)
--- a/packages/proxy/src/sassafrastally/proxy/attempt.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt.py
@@ -19,11 +19,11 @@
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.http_stream import HttpStream
     from sassafrastally.proxy.model import (
-        AnswerFacts,
-        AttemptTerms,
+        AttemptParameters,
         BackendServer,
-        RequestFacts,
-        ServerAsks,
+        BackpressureSignals,
+        RequestMetadata,
+        ResponseMetadata,
     )
     from sassafrastally.proxy.pool import ConnectionPool
 
@@ -60,7 +60,7 @@
     target: bytes
     headers: Headers
     body: bytes
-    facts: RequestFacts
+    facts: RequestMetadata
     arrived_s: float
 
 
@@ -77,7 +77,9 @@
         Information extracted from the header.
     """
 
-    def __init__(self, connection: HttpStream, response: h11.Response, facts: AnswerFacts) -> None:
+    def __init__(
+        self, connection: HttpStream, response: h11.Response, facts: ResponseMetadata
+    ) -> None:
         self.status = response.status_code
         self.headers: Headers = list(response.headers)
         self.facts = facts
@@ -119,7 +121,7 @@
     def __init__(self, dialect: Dialect, pool: ConnectionPool) -> None:
         self._dialect = dialect
         self._pool = pool
-        self.on_answer: Callable[[BackendServer, ServerAsks], None] = lambda *_: None
+        self.on_answer: Callable[[BackendServer, BackpressureSignals], None] = lambda *_: None
         """Called for each response header, before the body is read."""
 
     @property
@@ -131,7 +133,7 @@
     async def send(
         self,
         request: Request,
-        terms: AttemptTerms,
+        terms: AttemptParameters,
         *,
         may_reuse: bool,
         waiting: trio.CancelScope | None = None,
@@ -189,7 +191,7 @@
             unreachable.is_unreachable = True
             raise unreachable from cause
 
-    def _head(self, request: Request, terms: AttemptTerms) -> h11.Request:
+    def _head(self, request: Request, terms: AttemptParameters) -> h11.Request:
         headers = [
             (name, value)
             for name, value in self._dialect.attempt_headers(request.headers, terms)
@@ -235,7 +237,7 @@
             event = await _receive(connection)
             if isinstance(event, h11.Response):
                 facts = self._dialect.decode_response(event.status_code, list(event.headers))
-                self.on_answer(server, facts.asks)
+                self.on_answer(server, facts.backpressure)
                 return Answer(connection, event, facts)
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 raise AttemptUnknown(f"connection closed without a response to {request_id}")
@@ -265,7 +267,7 @@
     refusal = AttemptNotRun(f"rejected by the server with status {answer.status}")
     refusal.failed_server_address = answer.facts.failed_server_address
     # Asking for a cool-down is no more a sign of a fault than being at capacity.
-    refusal.counts_against_server = not answer.facts.asks.cool_down_s
+    refusal.counts_against_server = not answer.facts.backpressure.cool_down_s
     return refusal
 
 
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -20,7 +20,7 @@
 from sassafrastally.proxy.metrics import SERVER_CALLS
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.rate_shares import (
-    LEAST_PER_S,
+    MIN_LIMIT_PER_S,
     RetrySchedule,
     SentRequests,
     own_share_per_s,
@@ -33,7 +33,7 @@
     import trio
 
     from sassafrastally.proxy.limit_exchange import LimitReport
-    from sassafrastally.proxy.model import BackendServer, ServerAsks
+    from sassafrastally.proxy.model import BackendServer, BackpressureSignals
 
 ASSUMED_LIMIT_PER_S = 20.0
 """Assumed requests per second of a server without a stated limit once its cool-down is over."""
@@ -91,22 +91,22 @@
     def count_request(self, server: BackendServer, kind: CallKind) -> None:
         """Count a request that is about to be sent."""
         SERVER_CALLS.add(1, {"kind": kind.value})
-        self._sent_to(server.life_id).note(self._now_s)
+        self._sent_to(server.incarnation_id).note(self._now_s)
 
     def count_part(self, server: BackendServer) -> None:
         """Count a part of a prompt that a limited server prefills for another one."""
-        if self.limit_of(server.life_id) is not None:
-            self._sent_to(server.life_id).note(self._now_s)
+        if self.limit_of(server.incarnation_id) is not None:
+            self._sent_to(server.incarnation_id).note(self._now_s)
 
-    def note_answer(self, server: BackendServer, asks: ServerAsks) -> None:
+    def note_answer(self, server: BackendServer, signals: BackpressureSignals) -> None:
         """Note the backpressure signals in a server's answer."""
-        key = server_hash(server.life_id)
-        change = self._limits.note_answer_limit(key, asks.most_per_s, self._now_s)
+        key = server_hash(server.incarnation_id)
+        change = self._limits.note_answer_limit(key, signals.most_per_s, self._now_s)
         self._note_change(key, change, OWN_SOURCE)
-        if asks.is_leaving:
+        if signals.is_leaving:
             self._note_leaving(server)
-        if asks.cool_down_s is not None:
-            self._note_cool_down(server, asks.cool_down_s)
+        if signals.cool_down_s is not None:
+            self._note_cool_down(server, signals.cool_down_s)
 
     def leaving(self) -> dict[str, float]:
         """Return the servers that recently announced leaving, with the remaining seconds."""
@@ -114,11 +114,11 @@
 
     def is_leaving(self, server: BackendServer) -> bool:
         """Return whether a server has announced that it is leaving."""
-        return server.life_id in self._leaving
+        return server.incarnation_id in self._leaving
 
-    def limit_of(self, life_id: str) -> float | None:
+    def limit_of(self, incarnation_id: str) -> float | None:
         """Return the requests per second that a server accepts; ``None`` without a limit."""
-        return self._limits.of(server_hash(life_id)) if self._limits else None
+        return self._limits.of(server_hash(incarnation_id)) if self._limits else None
 
     def rooms_s(self, servers: Iterable[BackendServer]) -> dict[str, float]:
         """Return the time until each server accepts a request; servers that do now are left out.
@@ -132,8 +132,8 @@
         if (others := self._peers.members()) != self._shared_among:
             self._shared_among = others
             self._shares.clear()
-        waits_s = ((one.life_id, self._wait_s(one.life_id)) for one in servers)
-        return {life_id: wait_s for life_id, wait_s in waits_s if wait_s > 0}
+        waits_s = ((one.incarnation_id, self._wait_s(one.incarnation_id)) for one in servers)
+        return {incarnation_id: wait_s for incarnation_id, wait_s in waits_s if wait_s > 0}
 
     def is_open(self, server: BackendServer) -> bool:
         """Return whether a server accepts a request of this entry now."""
@@ -156,10 +156,10 @@
         waits_s = self.rooms_s(servers)
         if len(waits_s) < len(servers):
             return None
-        staying = [server for server in servers if server.life_id not in self._leaving]
+        staying = [server for server in servers if server.incarnation_id not in self._leaving]
         if not staying:
             return None
-        total_per_s = sum(self._accepted_per_s(server.life_id) for server in staying)
+        total_per_s = sum(self._accepted_per_s(server.incarnation_id) for server in staying)
         first_s = min(waits_s.values())
         if math.isinf(first_s):
             # Other entries share all limits; this is the average time until one has room.
@@ -182,20 +182,25 @@
     def forget_gone(self, known: Collection[str]) -> None:
         """Forget servers that no longer exist."""
         now_s = self._now_s
-        for life_id in self._sent.keys() - known:
-            if self._sent[life_id].count(now_s) == 0:
-                del self._sent[life_id]
+        for incarnation_id in self._sent.keys() - known:
+            if self._sent[incarnation_id].count(now_s) == 0:
+                del self._sent[incarnation_id]
         self._leaving.forget_gone(known, now_s)
 
     def _note_change(self, key: int, change: LimitChange, source: str) -> None:
         if change is LimitChange.NOTHING:
             return
         server = next(
-            (one for one in self._cluster_state.servers() if server_hash(one.life_id) == key), None
+            (
+                one
+                for one in self._cluster_state.servers()
+                if server_hash(one.incarnation_id) == key
+            ),
+            None,
         )
         if server is None:
             return
-        self._shares.pop(server.life_id, None)
+        self._shares.pop(server.incarnation_id, None)
         if change is LimitChange.NEWS:
             self._log_limit(server, self._limits.of(key), source)
             if source == OWN_SOURCE:
@@ -206,8 +211,8 @@
             self.kernel.events.emit(ServerLimitEnded(server.server_id, source))
             return
         others = self._peers.members()
-        share_per_s = own_share_per_s(server.life_id, most_per_s, self._own_host, others)
-        sent = self._sent_to(server.life_id).count(self._now_s)
+        share_per_s = own_share_per_s(server.incarnation_id, most_per_s, self._own_host, others)
+        sent = self._sent_to(server.incarnation_id).count(self._now_s)
         entries = 1 + len(others)
         self.kernel.events.emit(
             ServerLimited(
@@ -215,36 +220,36 @@
             )
         )
 
-    def _accepted_per_s(self, life_id: str) -> float:
+    def _accepted_per_s(self, incarnation_id: str) -> float:
         """Return the rate at which a server accepts requests once it accepts any."""
-        most_per_s = self.limit_of(life_id)
-        return ASSUMED_LIMIT_PER_S if most_per_s is None else max(LEAST_PER_S, most_per_s)
+        most_per_s = self.limit_of(incarnation_id)
+        return ASSUMED_LIMIT_PER_S if most_per_s is None else max(MIN_LIMIT_PER_S, most_per_s)
 
-    def _wait_s(self, life_id: str) -> float:
-        if life_id in self._leaving:
+    def _wait_s(self, incarnation_id: str) -> float:
+        if incarnation_id in self._leaving:
             return math.inf
-        cool_down_s = self._cool_downs.remaining_s(life_id, self._now_s)
-        most_per_s = self.limit_of(life_id)
+        cool_down_s = self._cool_downs.remaining_s(incarnation_id, self._now_s)
+        most_per_s = self.limit_of(incarnation_id)
         if most_per_s is None:
             return cool_down_s
-        if life_id not in self._shares:
-            self._shares[life_id] = own_share_per_s(
-                life_id, most_per_s, self._own_host, self._shared_among
+        if incarnation_id not in self._shares:
+            self._shares[incarnation_id] = own_share_per_s(
+                incarnation_id, most_per_s, self._own_host, self._shared_among
             )
-        wait_s = self._sent_to(life_id).room_in_s(self._shares[life_id], self._now_s)
+        wait_s = self._sent_to(incarnation_id).room_in_s(self._shares[incarnation_id], self._now_s)
         return max(cool_down_s, wait_s)
 
     def _note_leaving(self, server: BackendServer) -> None:
-        if self._leaving.note(server.life_id, self._now_s):
+        if self._leaving.note(server.incarnation_id, self._now_s):
             self.kernel.events.emit(ServerLeaving(server.server_id))
             self._peers.send_now()
 
     def _note_cool_down(self, server: BackendServer, for_s: float) -> None:
-        if self._cool_downs.note(server.life_id, for_s, self._now_s):
+        if self._cool_downs.note(server.incarnation_id, for_s, self._now_s):
             self.kernel.events.emit(ServerCoolingDown(server.server_id, for_s))
 
-    def _sent_to(self, life_id: str) -> SentRequests:
-        return self._sent.setdefault(life_id, SentRequests())
+    def _sent_to(self, incarnation_id: str) -> SentRequests:
+        return self._sent.setdefault(incarnation_id, SentRequests())
 
     @property
     def _now_s(self) -> float:
--- a/packages/proxy/src/sassafrastally/proxy/cluster_state.py
+++ b/packages/proxy/src/sassafrastally/proxy/cluster_state.py
@@ -122,7 +122,7 @@
     def is_current(self, server: BackendServer) -> bool:
         """Return whether no newer incarnation of a backend server is known."""
         known = self._servers.get(server.server_id)
-        return known is None or known.life_id == server.life_id
+        return known is None or known.incarnation_id == server.incarnation_id
 
     def servers(self) -> list[BackendServer]:
         """Return all known backend servers, draining ones included."""
@@ -271,7 +271,7 @@
             return
         self._servers[server.server_id] = server
         self._index = None
-        if known is not None and known.life_id != server.life_id:
+        if known is not None and known.incarnation_id != server.incarnation_id:
             self._note_incarnation_ended(known)
         self.kernel.events.emit(
             ServerKnown(
@@ -343,7 +343,9 @@
             self._expire_lapsed()
         if self._index is None:
             by_service: dict[str, list[BackendServer]] = {}
-            for server in sorted(self._servers.values(), key=lambda one: server_hash(one.life_id)):
+            for server in sorted(
+                self._servers.values(), key=lambda one: server_hash(one.incarnation_id)
+            ):
                 if not server.is_draining:
                     by_service.setdefault(server.service, []).append(server)
             pools = {service: divide(servers) for service, servers in by_service.items()}
--- a/packages/proxy/src/sassafrastally/proxy/cool_downs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cool_downs.py
@@ -16,17 +16,17 @@
     def __len__(self) -> int:
         return len(self._until_s)
 
-    def note(self, life_id: str, for_s: float, now_s: float) -> bool:
+    def note(self, incarnation_id: str, for_s: float, now_s: float) -> bool:
         """Note a requested cool-down and return whether it ends later than the known one."""
         until_s = now_s + for_s
-        if until_s <= self._until_s.get(life_id, now_s):
+        if until_s <= self._until_s.get(incarnation_id, now_s):
             return False
-        self._until_s[life_id] = until_s
+        self._until_s[incarnation_id] = until_s
         return True
 
-    def remaining_s(self, life_id: str, now_s: float) -> float:
+    def remaining_s(self, incarnation_id: str, now_s: float) -> float:
         """Return the rest of a server's cool-down; 0 without one."""
-        return max(0.0, self._until_s.get(life_id, now_s) - now_s)
+        return max(0.0, self._until_s.get(incarnation_id, now_s) - now_s)
 
     def forget_expired(self, now_s: float) -> None:
         """Forget cool-downs that have ended."""
--- a/packages/proxy/src/sassafrastally/proxy/crash_detector.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_detector.py
@@ -102,11 +102,11 @@
         """
         now_s = self._kernel.clock.now_s()
         self._unanswered = {
-            life_id: requests
-            for life_id, requests in self._unanswered.items()
+            incarnation_id: requests
+            for incarnation_id, requests in self._unanswered.items()
             if any(now_s - one.at_s < LEASE_EXPIRY_WINDOW_S for one in requests)
         }
-        requests = self._unanswered.setdefault(server.life_id, deque(maxlen=MAX_UNANSWERED))
+        requests = self._unanswered.setdefault(server.incarnation_id, deque(maxlen=MAX_UNANSWERED))
         requests.append(_Unanswered(task.fingerprint, task.request.facts.request_id, now_s))
 
     async def _find(
@@ -124,7 +124,7 @@
             is_known.set()
 
     def _note_incarnation_ended(self, server: BackendServer) -> None:
-        requests = self._unanswered.pop(server.life_id, ())
+        requests = self._unanswered.pop(server.incarnation_id, ())
         if server.is_draining or self._backpressure.is_leaving(server):
             return
         now_s = self._kernel.clock.now_s()
@@ -139,7 +139,11 @@
         if self._backpressure.is_leaving(server):
             return True
         known = self._cluster_state.server(server.server_id)
-        return known is not None and known.life_id == server.life_id and known.is_draining
+        return (
+            known is not None
+            and known.incarnation_id == server.incarnation_id
+            and known.is_draining
+        )
 
     def _note_crash(
         self,
--- a/packages/proxy/src/sassafrastally/proxy/dialect.py
+++ b/packages/proxy/src/sassafrastally/proxy/dialect.py
@@ -11,13 +11,13 @@
 
 if TYPE_CHECKING:
     from sassafrastally.proxy.model import (
-        AnswerFacts,
-        AttemptTerms,
+        AttemptParameters,
         BackendServer,
         Configuration,
         EngineReport,
-        RequestFacts,
+        RequestMetadata,
         ReservationOutcome,
+        ResponseMetadata,
     )
 
 Headers = list[tuple[bytes, bytes]]
@@ -56,15 +56,15 @@
 
     keys: StoreKeys
 
-    def decode_request(self, headers: Headers) -> RequestFacts:
+    def decode_request(self, headers: Headers) -> RequestMetadata:
         """Return the routing information of a caller's request; raises `DocumentInvalid`."""
         ...
 
-    def attempt_headers(self, headers: Headers, terms: AttemptTerms) -> Headers:
+    def attempt_headers(self, headers: Headers, terms: AttemptParameters) -> Headers:
         """Return the header fields to send to a backend server for a caller's request."""
         ...
 
-    def decode_response(self, status: int, headers: Headers) -> AnswerFacts:
+    def decode_response(self, status: int, headers: Headers) -> ResponseMetadata:
         """Return the information that the header of a backend server's response holds."""
         ...
 
--- a/packages/proxy/src/sassafrastally/proxy/engine_time.py
+++ b/packages/proxy/src/sassafrastally/proxy/engine_time.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sassafrastally.proxy.model import EngineFigures
+    from sassafrastally.proxy.model import EngineProfile
 
 MILLION = 1_000_000
 
@@ -19,17 +19,20 @@
 """Most helpers that an engine accepts for one prompt."""
 
 
-def reading_ms(figures: EngineFigures, tokens: int) -> float:
+def prefill_ms(profile: EngineProfile, tokens: int) -> float:
     """Return the time that one engine takes to prefill a prompt of that many tokens."""
     pairs_millions = tokens * tokens / 2 / MILLION
-    return tokens / figures.read_tokens_per_ms + pairs_millions * figures.pairs_ms_per_million
+    return (
+        tokens / profile.prefill_tokens_per_ms
+        + pairs_millions * profile.attention_ms_per_million_pairs
+    )
 
 
-def pass_ms(figures: EngineFigures, requests: int, context_tokens: int) -> float:
+def pass_ms(profile: EngineProfile, requests: int, context_tokens: int) -> float:
     """Return the length of a pass in which that many requests decode and none is prefilled."""
     step_ms = (
-        figures.step_ms
-        + figures.per_request_ms * requests
-        + figures.context_ms_per_k * context_tokens / 1000
+        profile.step_ms
+        + profile.per_request_ms * requests
+        + profile.context_ms_per_k * context_tokens / 1000
     )
-    return step_ms * figures.stride_steps
+    return step_ms * profile.steps_per_pass
--- a/packages/proxy/src/sassafrastally/proxy/fleet_view.py
+++ b/packages/proxy/src/sassafrastally/proxy/fleet_view.py
@@ -12,7 +12,15 @@
 from sassafrastally.proxy.lanes import ServerView
 from sassafrastally.proxy.leaving_servers import LEAVING_S, LeavingServers, looks_leaving
 from sassafrastally.proxy.liveness import Liveness
-from sassafrastally.proxy.load import NO_WORK, Ledger, Work, WorkView, add_work, merge, server_hash
+from sassafrastally.proxy.load import (
+    NO_WORK,
+    Ledger,
+    Work,
+    WorkView,
+    merge_work,
+    server_hash,
+    sum_work,
+)
 from sassafrastally.proxy.log_events import ServerSuspected
 from sassafrastally.proxy.metrics import SUSPICIONS
 from sassafrastally.proxy.pace import SLOW_PACE, USUAL_PACE, Paces
@@ -78,7 +86,7 @@
     def work(self) -> WorkView:
         """Return the work in progress of all entries."""
         now_s = self.kernel.clock.now_s()
-        return merge(self.ledger.work(now_s), self._peers.loads())
+        return merge_work(self.ledger.work(now_s), self._peers.loads())
 
     def views(self, service: str, avoid: set[str]) -> list[ServerView]:
         """Return the servers of a service in the order shared by all entries.
@@ -119,13 +127,14 @@
         views = [
             ServerView(
                 server,
-                self._work_with_unseen(life_id, work, now_s),
-                life_id in to_avoid or server_hash(life_id) in to_avoid,
-                paces.get(life_id, USUAL_PACE),
-                self._backpressure.limit_of(life_id) is not None,
+                self._work_with_unseen(incarnation_id, work, now_s),
+                incarnation_id in to_avoid or server_hash(incarnation_id) in to_avoid,
+                paces.get(incarnation_id, USUAL_PACE),
+                self._backpressure.limit_of(incarnation_id) is not None,
             )
             for server in servers
-            if (life_id := server.life_id) not in avoid and life_id not in without_room
+            if (incarnation_id := server.incarnation_id) not in avoid
+            and incarnation_id not in without_room
         ]
         trusted = [view for view in views if not view.is_suspect]
         return trusted or views
@@ -156,42 +165,42 @@
         """Return the pace of each slow engine, as reported to this process or to a peer."""
         from_peers = self._peers.paces()
         reported = {
-            server.life_id: from_peers[key]
+            server.incarnation_id: from_peers[key]
             for server in (self._cluster_state.servers() if from_peers else ())
-            if (key := server_hash(server.life_id)) in from_peers
+            if (key := server_hash(server.incarnation_id)) in from_peers
         }
         return {**reported, **self._paces.slow(self.kernel.clock.now_s())}
 
     def note_pace(self, server: BackendServer, pace: float) -> None:
         """Record the pace that an engine reports."""
-        self._paces.note(server.life_id, pace, self.kernel.clock.now_s())
+        self._paces.note(server.incarnation_id, pace, self.kernel.clock.now_s())
         if pace >= SLOW_PACE:
             self.ledger.note_change()  # Sends the next datagram early.
 
     def _own_paces(self) -> dict[int, float]:
         slow = self._paces.slow(self.kernel.clock.now_s())
-        return {server_hash(life_id): pace for life_id, pace in slow.items()}
+        return {server_hash(incarnation_id): pace for incarnation_id, pace in slow.items()}
 
-    def _work_with_unseen(self, life_id: str, work: WorkView, now_s: float) -> Work:
-        known = work.at(life_id)
-        unseen = self._unseen.at(life_id, now_s)
+    def _work_with_unseen(self, incarnation_id: str, work: WorkView, now_s: float) -> Work:
+        known = work.at(incarnation_id)
+        unseen = self._unseen.at(incarnation_id, now_s)
         return known._replace(short_requests=known.short_requests + unseen) if unseen else known
 
     def forget_gone(self) -> None:
         """Discard the state of servers that no longer exist."""
-        known = {server.life_id for server in self._cluster_state.servers()}
+        known = {server.incarnation_id for server in self._cluster_state.servers()}
         self.suspicion.forget_gone(known)
         self._slowness.forget_gone(known)
         self._paces.forget_gone(known)
         self._backpressure.forget_gone(known)
         self._unseen.forget_old(self.kernel.clock.now_s())
 
-    def note_load(self, life_id: str, load: ServerLoad | None) -> None:
+    def note_load(self, incarnation_id: str, load: ServerLoad | None) -> None:
         """Record the load that a server reported with an answer."""
         if load is not None:
             now_s = self.kernel.clock.now_s()
-            known = self._work_at(life_id, now_s).requests
-            self._unseen.note(life_id, load, known, now_s)
+            known = self._work_at(incarnation_id, now_s).requests
+            self._unseen.note(incarnation_id, load, known, now_s)
 
     def note_event(
         self, server: BackendServer, waited_s: float, limit_s: float, request_id: str
@@ -210,28 +219,28 @@
             The request that it belongs to.
         """
         if waited_s <= limit_s:
-            self._slowness.note_usual(server.life_id)
+            self._slowness.note_usual(server.incarnation_id)
             return
         now_s = self.kernel.clock.now_s()
-        if self._work_at(server.life_id, now_s).reading_requests:
+        if self._work_at(server.incarnation_id, now_s).prefill_requests:
             return  # Prefill explains the delay.
         servers = len(self._cluster_state.servers_of(server.service))
-        if not self._slowness.note_slow(server.life_id, servers, now_s):
+        if not self._slowness.note_slow(server.incarnation_id, servers, now_s):
             return
         SUSPICIONS.add(1)
         self.ledger.note_change()  # Sends the next datagram early.
         reason = f"slow: events take more than {limit_s:.2f} s; the last took {waited_s:.2f} s"
         self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEFT_ALONE_S, request_id))
 
-    def _work_at(self, life_id: str, now_s: float) -> Work:
+    def _work_at(self, incarnation_id: str, now_s: float) -> Work:
         """Return the work at one server, without the cost of merging the work of all servers."""
-        key = server_hash(life_id)
-        own = self.ledger.work(now_s).get(life_id, NO_WORK)
-        return add_work([own, *(loads.get(key, NO_WORK) for loads in self._peers.loads())])
+        key = server_hash(incarnation_id)
+        own = self.ledger.work(now_s).get(incarnation_id, NO_WORK)
+        return sum_work([own, *(loads.get(key, NO_WORK) for loads in self._peers.loads())])
 
-    def note_success(self, life_id: str) -> None:
+    def note_success(self, incarnation_id: str) -> None:
         """Record a successful answer."""
-        self.suspicion.succeeded(life_id)
+        self.suspicion.succeeded(incarnation_id)
 
     def note_failure(
         self, server: BackendServer, reason: str, request_id: str, *, is_clear: bool = False
@@ -251,13 +260,13 @@
             distinguish a server that has died from one that broke off one answer.
         """
         now_s = self.kernel.clock.now_s()
-        for_s = self.suspicion.failed(server.life_id, now_s, is_clear=is_clear)
+        for_s = self.suspicion.failed(server.incarnation_id, now_s, is_clear=is_clear)
         if for_s:
             SUSPICIONS.add(1)
             self.ledger.note_change()  # Sends the next datagram early.
             self.kernel.events.emit(ServerSuspected(server.server_id, reason, for_s, request_id))
-        elif server.life_id not in self._probing:
-            self._probing.add(server.life_id)
+        elif server.incarnation_id not in self._probing:
+            self._probing.add(server.incarnation_id)
             self._nursery.start_soon(self._probe, server, request_id)
 
     def note_refusal(
@@ -273,12 +282,12 @@
             As for `note_failure`.
         """
         now_s = self.kernel.clock.now_s()
-        work = self._work_at(server.life_id, now_s)
+        work = self._work_at(server.incarnation_id, now_s)
         if not looks_leaving(work, server.slots, self.beliefs_age_s):
             self.note_failure(server, reason, request_id, is_clear=is_clear)
             return
         SUSPICIONS.add(1)
-        self._leaving.note(server.life_id, now_s)
+        self._leaving.note(server.incarnation_id, now_s)
         self.ledger.note_change(is_urgent=True)
         reason = f"{reason}; its known load doesn't explain this, so it may be leaving"
         self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEAVING_S, request_id))
@@ -304,10 +313,10 @@
         try:
             finding = await self.liveness.find(server)
         finally:
-            self._probing.discard(server.life_id)
+            self._probing.discard(server.incarnation_id)
         if not finding.is_listening:
             self.note_failure(server, f"probe: {finding.detail}", request_id, is_clear=True)
 
     def _own_suspects(self) -> dict[int, float]:
         left = self._own_servers_to_avoid(self.kernel.clock.now_s())
-        return {server_hash(life_id): left_s for life_id, left_s in left.items()}
+        return {server_hash(incarnation_id): left_s for incarnation_id, left_s in left.items()}
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -11,15 +11,15 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MAX_HELPERS, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, prefill_ms
 from sassafrastally.proxy.load import Lane, Work
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from random import Random
 
-    from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize, Route
-    from sassafrastally.proxy.reading_limits import ReadingLimits
+    from sassafrastally.proxy.model import BackendServer, EngineProfile, PromptSize, Route
+    from sassafrastally.proxy.prefill_limits import PrefillLimits
 
 SHORT_REQUEST_DURATION_S = 1.5
 """Typical time that a short request occupies its slot. Together with the number of requests in
@@ -74,29 +74,29 @@
 
 
 def lane_of(
-    route: Route, prompt: PromptSize, figures: EngineFigures, limits: ReadingLimits
+    route: Route, prompt: PromptSize, profile: EngineProfile, limits: PrefillLimits
 ) -> Lane:
     """Return the lane of a request."""
     if limits.is_tolerant(route.pause_goal_s):
         return Lane.LONG
-    too_long_ms = limits.short_part_ms * (MAX_HELPERS + 1)
-    return Lane.LONG if reading_ms(figures, prompt.prompt_tokens) > too_long_ms else Lane.SHORT
+    too_long_ms = limits.max_short_part_ms * (MAX_HELPERS + 1)
+    return Lane.LONG if prefill_ms(profile, prompt.prompt_tokens) > too_long_ms else Lane.SHORT
 
 
 def split_lanes_by_centre(
-    views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
+    views: Sequence[ServerView], profile: EngineProfile, scatter: Scatter | None = None
 ) -> Lanes:
     """Split the engines of each data centre separately, as its own entries do.
 
     Parameters
     ----------
-    views, figures, scatter
+    views, profile, scatter
         As for `split_lanes`.
     """
     centres: dict[str, list[ServerView]] = {}
     for view in views:
         centres.setdefault(view.server.data_centre, []).append(view)
-    split = [split_lanes(centre_views, figures, scatter) for centre_views in centres.values()]
+    split = [split_lanes(centre_views, profile, scatter) for centre_views in centres.values()]
     return Lanes(
         tuple(view for lanes in split for view in lanes.long),
         tuple(view for lanes in split for view in lanes.short),
@@ -104,7 +104,7 @@
 
 
 def split_lanes(
-    views: Sequence[ServerView], figures: EngineFigures, scatter: Scatter | None = None
+    views: Sequence[ServerView], profile: EngineProfile, scatter: Scatter | None = None
 ) -> Lanes:
     """Split the engines into lanes by the number of short requests in progress.
 
@@ -116,8 +116,8 @@
     ----------
     views
         Engines that can take work, in the order that all entries use.
-    figures
-        Performance figures of the engines.
+    profile
+        Performance profile of the engines.
     scatter
         Estimates the requests that other entries have placed since their latest reports.
     """
@@ -127,7 +127,7 @@
     short_requests: float = sum(view.work.short_requests for view in views)
     if scatter is not None:
         short_requests += scatter.unseen_requests(int(short_requests))
-    needed_engines = math.ceil(short_requests / (SHORT_FILL * figures.slots)) + 1
+    needed_engines = math.ceil(short_requests / (SHORT_FILL * profile.slots)) + 1
     min_long = max(1, math.ceil(LONG_LANE_SHARE * count))
     short = max(1, min(needed_engines, count - min_long))
     return Lanes(tuple(views[: count - short]), tuple(views[count - short :]))
--- a/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
@@ -46,7 +46,7 @@
     update_age_s
         Age of the view of the servers.
     """
-    is_loaded = work.requests + work.reading_requests >= FULL_SHARE * slots
+    is_loaded = work.requests + work.prefill_requests >= FULL_SHARE * slots
     return update_age_s > NEWS_AGE_S and not is_loaded
 
 
@@ -56,9 +56,9 @@
     def __init__(self) -> None:
         self._since_s: dict[str, float] = {}
 
-    def note(self, life_id: str, now_s: float) -> None:
+    def note(self, incarnation_id: str, now_s: float) -> None:
         """Record a refusal that looks like leaving."""
-        self._since_s[life_id] = now_s
+        self._since_s[incarnation_id] = now_s
 
     def left_alone(self, now_s: float, confirmed_s: float) -> dict[str, float]:
         """Return the servers to avoid, with the remaining seconds.
@@ -71,11 +71,14 @@
             When the view of the servers was last confirmed.
         """
         self._since_s = {
-            life_id: since_s
-            for life_id, since_s in self._since_s.items()
+            incarnation_id: since_s
+            for incarnation_id, since_s in self._since_s.items()
             if now_s - since_s < LEAVING_S and confirmed_s < since_s + CONFIRMATION_DELAY_S
         }
-        return {life_id: since_s + LEAVING_S - now_s for life_id, since_s in self._since_s.items()}
+        return {
+            incarnation_id: since_s + LEAVING_S - now_s
+            for incarnation_id, since_s in self._since_s.items()
+        }
 
 
 class DeclaredLeaving:
@@ -91,13 +94,13 @@
     def __bool__(self) -> bool:
         return bool(self._announced_s)
 
-    def __contains__(self, life_id: object) -> bool:
-        return life_id in self._announced_s
+    def __contains__(self, incarnation_id: object) -> bool:
+        return incarnation_id in self._announced_s
 
-    def note(self, life_id: str, now_s: float) -> bool:
+    def note(self, incarnation_id: str, now_s: float) -> bool:
         """Record a server's announcement; return whether it is the first."""
-        is_first = life_id not in self._announced_s
-        self._announced_s[life_id] = now_s
+        is_first = incarnation_id not in self._announced_s
+        self._announced_s[incarnation_id] = now_s
         return is_first
 
     def told(self, now_s: float) -> dict[str, float]:
@@ -106,12 +109,13 @@
         After that time, a server is gone or has announced it to the peers itself.
         """
         left = {
-            life_id: said_s + LEAVING_S - now_s for life_id, said_s in self._announced_s.items()
+            incarnation_id: said_s + LEAVING_S - now_s
+            for incarnation_id, said_s in self._announced_s.items()
         }
-        return {life_id: left_s for life_id, left_s in left.items() if left_s > 0}
+        return {incarnation_id: left_s for incarnation_id, left_s in left.items() if left_s > 0}
 
     def forget_gone(self, known: Collection[str], now_s: float) -> None:
         """Remove unknown servers whose last announcement is older than `FORGOTTEN_S`."""
-        for life_id in self._announced_s.keys() - known:
-            if now_s - self._announced_s[life_id] > FORGOTTEN_S:
-                del self._announced_s[life_id]
+        for incarnation_id in self._announced_s.keys() - known:
+            if now_s - self._announced_s[incarnation_id] > FORGOTTEN_S:
+                del self._announced_s[incarnation_id]
--- a/packages/proxy/src/sassafrastally/proxy/liveness.py
+++ b/packages/proxy/src/sassafrastally/proxy/liveness.py
@@ -69,11 +69,11 @@
 
     async def find(self, server: BackendServer) -> Finding:
         """Probe a server's address, or return the finding of a recent or running probe."""
-        probe = self._probes.get(server.life_id)
+        probe = self._probes.get(server.incarnation_id)
         if probe is None or not probe.is_reusable():
             probe = _Probe(trio.current_time())
-            self._probes.pop(server.life_id, None)
-            self._probes[server.life_id] = probe
+            self._probes.pop(server.incarnation_id, None)
+            self._probes[server.incarnation_id] = probe
             if len(self._probes) > MAX_CACHED_FINDINGS:
                 del self._probes[next(iter(self._probes))]
             self._nursery.start_soon(self._try, server, probe)
--- a/packages/proxy/src/sassafrastally/proxy/load.py
+++ b/packages/proxy/src/sassafrastally/proxy/load.py
@@ -1,6 +1,6 @@
 """Work in progress at backend servers: of this process, and merged over all entries.
 
-In names, "reading" is the prefill of a prompt and "writing" is decoding.
+In the names of the wire format, "reading" is the prefill of a prompt and "writing" is decoding.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
 
-UNFINISHED_READING_MS = 15.0
+MIN_UNFINISHED_PREFILL_MS = 15.0
 """Minimum remaining prefill that a prompt without a first event counts for on each of its engines,
 even if its parts should be done."""
 
@@ -24,7 +24,7 @@
 """Share of its time that an engine spends on prefill while it also decodes; the rest of each pass
 goes into decoding."""
 
-OVERDUE_S = 0.1
+OVERDUE_TOLERANCE_S = 0.1
 """Delay of a first event beyond its prediction that is still normal: one or two engine passes."""
 
 
@@ -44,14 +44,14 @@
 
     short_requests: int = 0
     long_requests: int = 0
-    reading_requests: int = 0
+    prefill_requests: int = 0
     """Prompts in prefill at the server, in whole or in part, whose first event is still due."""
     plain_requests: int = 0
     tokens: int = 0
     """Memory that the requests take, in tokens."""
-    reading_ms: float = 0.0
+    prefill_ms: float = 0.0
     """Remaining prefill time."""
-    writing_tokens: int = 0
+    decoding_tokens: int = 0
     """Memory of the long requests that have had their first event, in tokens; another prompt's
     prefill would delay their next events."""
     suspect_requests: int = 0
@@ -66,19 +66,19 @@
 NO_WORK = Work()
 
 
-class Part(NamedTuple):
+class PrefillPart(NamedTuple):
     """Part of a request's prefill that one backend server does."""
 
-    life_id: str
-    reading_ms: float
+    incarnation_id: str
+    prefill_ms: float
 
 
-class Flight:
+class InFlightAttempt:
     """One attempt in progress.
 
     Attributes
     ----------
-    life_id
+    incarnation_id
         Backend server that answers.
     lane
         Class of the request.
@@ -94,22 +94,22 @@
 
     def __init__(
         self,
-        life_id: str,
+        incarnation_id: str,
         lane: Lane,
         memory: Mapping[str, int] | None = None,
-        parts: tuple[Part, ...] = (),
+        parts: tuple[PrefillPart, ...] = (),
         due_s: float = math.inf,
         *,
         is_suspect: bool = False,
     ) -> None:
-        self.life_id = life_id
+        self.incarnation_id = incarnation_id
         self.lane = lane
         self.memory = memory or {}
         self.parts = parts
         self.due_s = due_s
         self.is_suspect = is_suspect
-        self.is_reading = bool(parts)
-        self.left_ms = {part.life_id: part.reading_ms for part in parts}
+        self.is_in_prefill = bool(parts)
+        self.remaining_ms = {part.incarnation_id: part.prefill_ms for part in parts}
         """Remaining prefill time, by backend server."""
 
 
@@ -131,12 +131,12 @@
         self._urgent_changed = trio.Event()
         self.others: Callable[[], Sequence[Mapping[int, Work]]] = tuple
         """Returns the work of other entries, by hash of the backend server's id."""
-        self._flights: dict[Flight, None] = {}
+        self._attempts: dict[InFlightAttempt, None] = {}
         """In start order, so that sums are reproducible between runs."""
         self._advanced_s = -math.inf
 
     def __len__(self) -> int:
-        return len(self._flights)
+        return len(self._attempts)
 
     async def changed_since(self, change_count: int) -> None:
         """Wait until `change_count` differs from the given value."""
@@ -158,7 +158,7 @@
             self._urgent_changed.set()
             self._urgent_changed = trio.Event()
 
-    def add(self, flight: Flight, now_s: float) -> None:
+    def add(self, attempt: InFlightAttempt, now_s: float) -> None:
         """Add an attempt that begins.
 
         Long prompts and suspects are sent to peers at once. A long prompt's prefill is spread over
@@ -166,106 +166,115 @@
         same engines, and one prompt waits for both. If two suspects run on one server, its next
         crash can't be attributed to either.
         """
-        self.note_change(is_urgent=flight.lane is Lane.LONG or flight.is_suspect)
+        self.note_change(is_urgent=attempt.lane is Lane.LONG or attempt.is_suspect)
         self._advance_prefill(now_s)
-        self._flights[flight] = None
+        self._attempts[attempt] = None
 
-    def first_event(self, flight: Flight, now_s: float) -> None:
+    def first_event(self, attempt: InFlightAttempt, now_s: float) -> None:
         """Record that the prefill of an attempt is done."""
-        if not flight.is_reading:
+        if not attempt.is_in_prefill:
             return
         self.note_change()
         self._advance_prefill(now_s)
-        flight.is_reading = False
+        attempt.is_in_prefill = False
 
-    def remove(self, flight: Flight, now_s: float) -> None:
+    def remove(self, attempt: InFlightAttempt, now_s: float) -> None:
         """Remove an attempt that has ended."""
-        self.first_event(flight, now_s)
+        self.first_event(attempt, now_s)
         self.note_change()
-        self._flights.pop(flight, None)
+        self._attempts.pop(attempt, None)
 
     def work(self, now_s: float) -> dict[str, Work]:
         """Return the work by backend server."""
         self._advance_prefill(now_s)
         totals: dict[str, Work] = {}
-        for flight in self._flights:
-            at_server = totals.get(flight.life_id, NO_WORK)
-            totals[flight.life_id] = at_server._replace(
-                short_requests=at_server.short_requests + (flight.lane is Lane.SHORT),
-                long_requests=at_server.long_requests + (flight.lane is Lane.LONG),
-                plain_requests=at_server.plain_requests + (flight.lane is Lane.PLAIN),
-                suspect_requests=at_server.suspect_requests + flight.is_suspect,
+        for attempt in self._attempts:
+            at_server = totals.get(attempt.incarnation_id, NO_WORK)
+            totals[attempt.incarnation_id] = at_server._replace(
+                short_requests=at_server.short_requests + (attempt.lane is Lane.SHORT),
+                long_requests=at_server.long_requests + (attempt.lane is Lane.LONG),
+                plain_requests=at_server.plain_requests + (attempt.lane is Lane.PLAIN),
+                suspect_requests=at_server.suspect_requests + attempt.is_suspect,
             )
-            is_decoding = flight.lane is Lane.LONG and not flight.is_reading
-            for life_id, tokens in flight.memory.items():
-                holder = totals.get(life_id, NO_WORK)
-                totals[life_id] = holder._replace(
+            is_decoding = attempt.lane is Lane.LONG and not attempt.is_in_prefill
+            for incarnation_id, tokens in attempt.memory.items():
+                holder = totals.get(incarnation_id, NO_WORK)
+                totals[incarnation_id] = holder._replace(
                     tokens=holder.tokens + tokens,
-                    writing_tokens=holder.writing_tokens + tokens * is_decoding,
+                    decoding_tokens=holder.decoding_tokens + tokens * is_decoding,
                 )
-            if flight.is_reading:
-                for life_id, left_ms in flight.left_ms.items():
-                    reader = totals.get(life_id, NO_WORK)
-                    totals[life_id] = reader._replace(
-                        reading_requests=reader.reading_requests + 1,
-                        reading_ms=reader.reading_ms + left_ms,
+            if attempt.is_in_prefill:
+                for incarnation_id, remaining_ms in attempt.remaining_ms.items():
+                    reader = totals.get(incarnation_id, NO_WORK)
+                    totals[incarnation_id] = reader._replace(
+                        prefill_requests=reader.prefill_requests + 1,
+                        prefill_ms=reader.prefill_ms + remaining_ms,
                     )
-        for flight in self._flights:
-            if flight.is_reading:
-                _count_overdue(totals, flight, now_s)
+        for attempt in self._attempts:
+            if attempt.is_in_prefill:
+                _count_overdue(totals, attempt, now_s)
         return totals
 
     def _advance_prefill(self, now_s: float) -> None:
         """Subtract the prefill done since the last call, shared among the parts of all entries."""
         elapsed_ms, self._advanced_s = 1000 * (now_s - self._advanced_s), now_s
-        by_server: dict[str, list[Flight]] = {}
-        for flight in self._flights:
-            if flight.is_reading and elapsed_ms > 0:
-                for life_id, left_ms in flight.left_ms.items():
-                    if left_ms > 0:
-                        by_server.setdefault(life_id, []).append(flight)
+        by_server: dict[str, list[InFlightAttempt]] = {}
+        for attempt in self._attempts:
+            if attempt.is_in_prefill and elapsed_ms > 0:
+                for incarnation_id, remaining_ms in attempt.remaining_ms.items():
+                    if remaining_ms > 0:
+                        by_server.setdefault(incarnation_id, []).append(attempt)
         if not by_server:
             return
         others = self.others()
-        decoding = {flight.life_id for flight in self._flights if not flight.is_reading}
-        for life_id, flights in by_server.items():
-            others_work = add_work(work.get(server_hash(life_id), NO_WORK) for work in others)
-            is_decoding = life_id in decoding or others_work.requests > others_work.reading_requests
+        decoding = {
+            attempt.incarnation_id for attempt in self._attempts if not attempt.is_in_prefill
+        }
+        for incarnation_id, attempts in by_server.items():
+            others_work = sum_work(
+                work.get(server_hash(incarnation_id), NO_WORK) for work in others
+            )
+            is_decoding = (
+                incarnation_id in decoding or others_work.requests > others_work.prefill_requests
+            )
             done_ms = elapsed_ms * (PREFILL_TIME_SHARE if is_decoding else 1.0)
-            total_ms = sum(flight.left_ms[life_id] for flight in flights) + others_work.reading_ms
-            for flight in flights:
-                flight.left_ms[life_id] *= max(0.0, 1.0 - done_ms / total_ms)
+            total_ms = (
+                sum(attempt.remaining_ms[incarnation_id] for attempt in attempts)
+                + others_work.prefill_ms
+            )
+            for attempt in attempts:
+                attempt.remaining_ms[incarnation_id] *= max(0.0, 1.0 - done_ms / total_ms)
 
 
-def _count_overdue(totals: dict[str, Work], flight: Flight, now_s: float) -> None:
+def _count_overdue(totals: dict[str, Work], attempt: InFlightAttempt, now_s: float) -> None:
     """Count a minimum remaining prefill for an attempt whose parts should be done but aren't."""
     # An overdue prompt waits for one of its engines, but this process doesn't know for which. By
     # the plan that engine looks idle, and short prompts placed there would wait. The remaining time
     # is unknown too and is estimated as the time by which the prompt is already late. Several
     # overdue prompts on one engine wait for the same work, or their answers are lost, so the
     # maximum counts instead of the sum.
-    overdue_ms = (now_s - flight.due_s - OVERDUE_S) * 1000 / len(flight.parts)
-    least_ms = max(overdue_ms, UNFINISHED_READING_MS)
-    for life_id in flight.left_ms:
-        reader = totals[life_id]
-        totals[life_id] = reader._replace(reading_ms=max(reader.reading_ms, least_ms))
+    overdue_ms = (now_s - attempt.due_s - OVERDUE_TOLERANCE_S) * 1000 / len(attempt.parts)
+    least_ms = max(overdue_ms, MIN_UNFINISHED_PREFILL_MS)
+    for incarnation_id in attempt.remaining_ms:
+        reader = totals[incarnation_id]
+        totals[incarnation_id] = reader._replace(prefill_ms=max(reader.prefill_ms, least_ms))
 
 
-def add_work(works: Iterable[Work]) -> Work:
+def sum_work(works: Iterable[Work]) -> Work:
     """Return the sum of several works, field by field."""
     columns = zip(NO_WORK, *works, strict=True)
     return Work(*(sum(column) for column in columns))
 
 
-def merge(own: Mapping[str, Work], from_peers: Iterable[Mapping[int, Work]]) -> WorkView:
+def merge_work(own: Mapping[str, Work], from_peers: Iterable[Mapping[int, Work]]) -> WorkView:
     """Return the combined work of all entries."""
     by_hash: dict[int, list[Work]] = {}
-    for life_id, work in own.items():
-        by_hash.setdefault(server_hash(life_id), []).append(work)
+    for incarnation_id, work in own.items():
+        by_hash.setdefault(server_hash(incarnation_id), []).append(work)
     for loads in from_peers:
         for key, work in loads.items():
             by_hash.setdefault(key, []).append(work)
-    return WorkView({key: add_work(works) for key, works in by_hash.items()})
+    return WorkView({key: sum_work(works) for key, works in by_hash.items()})
 
 
 class WorkView(NamedTuple):
@@ -273,12 +282,12 @@
 
     by_hash: dict[int, Work]
 
-    def at(self, life_id: str) -> Work:
+    def at(self, incarnation_id: str) -> Work:
         """Return the work at a backend server."""
-        return self.by_hash.get(server_hash(life_id), NO_WORK)
+        return self.by_hash.get(server_hash(incarnation_id), NO_WORK)
 
 
 @lru_cache(maxsize=8192)
-def server_hash(life_id: str) -> int:
+def server_hash(incarnation_id: str) -> int:
     """Return the 64-bit key of a backend server, used between entries and for the shared order."""
-    return int.from_bytes(hashlib.blake2b(life_id.encode(), digest_size=8).digest(), "big")
+    return int.from_bytes(hashlib.blake2b(incarnation_id.encode(), digest_size=8).digest(), "big")
--- a/packages/proxy/src/sassafrastally/proxy/long_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/long_placement.py
@@ -11,7 +11,7 @@
 from heapq import nsmallest
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms, reading_ms
+from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms, prefill_ms
 from sassafrastally.proxy.load import Lane
 from sassafrastally.proxy.plan import (
     SAFE_GOAL_SHARE,
@@ -25,8 +25,8 @@
     from collections.abc import Sequence
 
     from sassafrastally.proxy.lanes import Lanes, Scatter, ServerView
-    from sassafrastally.proxy.model import EngineFigures, PromptSize
-    from sassafrastally.proxy.reading_limits import ReadingLimits
+    from sassafrastally.proxy.model import EngineProfile, PromptSize
+    from sassafrastally.proxy.prefill_limits import PrefillLimits
 
 LONG_VALUE_PER_1000_TOKENS = 0.1
 """Cost of a late long request for each 1,000 tokens, in late short requests: a prompt of 180,000
@@ -49,8 +49,8 @@
     lanes: Lanes,
     prompt: PromptSize,
     goal_s: float,
-    figures: EngineFigures,
-    limits: ReadingLimits,
+    profile: EngineProfile,
+    limits: PrefillLimits,
     scatter: Scatter,
 ) -> Placement | None:
     """Return the plan with the lowest cost for a long prompt, over all group sizes.
@@ -58,12 +58,12 @@
     More engines prefill the prompt sooner but delay more requests that are being decoded. Both
     costs have the same unit: short requests that become late.
     """
-    own_ms = reading_ms(figures, prompt.prompt_tokens)
-    in_long_lane = {view.server.life_id for view in lanes.long}
+    own_ms = prefill_ms(profile, prompt.prompt_tokens)
+    in_long_lane = {view.server.incarnation_id for view in lanes.long}
     candidates = [
-        _make_candidate(view, view.server.life_id not in in_long_lane, figures)
+        _make_candidate(view, view.server.incarnation_id not in in_long_lane, profile)
         for view in dict.fromkeys([*lanes.long, *lanes.short])
-        if view.work.reading_requests < figures.slots
+        if view.work.prefill_requests < profile.slots
     ]
     # Equally good engines are taken in a random order: otherwise two entries that place long
     # prompts at the same time would choose the same engines.
@@ -71,22 +71,22 @@
     needed = prompt.prompt_tokens + prompt.output_tokens
     usual_part_ms = own_ms / min(MAX_HELPERS + 1, max(1, len(candidates)))
     considered = _least_delayed(candidates, MAX_CONSIDERED_ENGINES, usual_part_ms, limits)
-    if not _any_can_answer_alone(considered, needed, figures) and _any_can_answer_alone(
-        candidates, needed, figures
+    if not _any_can_answer_alone(considered, needed, profile) and _any_can_answer_alone(
+        candidates, needed, profile
     ):
         considered = candidates
     # A further part adds least lateness on engines with a long prefill backlog, so these rank
     # first. The engines that can start soon are therefore tried as a separate choice.
     ready_soon = [
-        candidate for candidate in considered if candidate.view.work.reading_ms < goal_s * 1000 / 3
+        candidate for candidate in considered if candidate.view.work.prefill_ms < goal_s * 1000 / 3
     ]
     choices = (considered, ready_soon) if len(ready_soon) < len(considered) else (considered,)
-    max_parts = min(MAX_HELPERS + 1, len(considered), max(1, int(own_ms / limits.least_part_ms)))
+    max_parts = min(MAX_HELPERS + 1, len(considered), max(1, int(own_ms / limits.min_long_part_ms)))
     best: Placement | None = None
     best_cost = math.inf
     for size in range(1, max_parts + 1):
         for group in choices:
-            plan = _plan_group(group, size, own_ms / size, needed, figures, limits)
+            plan = _plan_group(group, size, own_ms / size, needed, profile, limits)
             if plan is None:
                 continue
             cost = _late_cost(prompt, plan.placement.predicted_s / goal_s) + plan.added_lateness
@@ -112,35 +112,35 @@
     """Expected number of requests that it makes late, in short requests."""
 
 
-def _make_candidate(view: ServerView, is_short_lane: bool, figures: EngineFigures) -> _Candidate:
+def _make_candidate(view: ServerView, is_short_lane: bool, profile: EngineProfile) -> _Candidate:
     work = view.work
-    pause_before_ms = pass_ms(figures, work.requests, work.tokens) * view.pace + work.reading_ms
+    pause_before_ms = pass_ms(profile, work.requests, work.tokens) * view.pace + work.prefill_ms
     # Only long requests that are being decoded have pauses. If those in prefill counted too, the
     # engines that answer long prompts would look so expensive that two or three engines would
     # prefill the next prompt alone.
-    decoding_weight = LONG_VALUE_PER_1000_TOKENS * work.writing_tokens / 1000
+    decoding_weight = LONG_VALUE_PER_1000_TOKENS * work.decoding_tokens / 1000
     return _Candidate(view, pause_before_ms, decoding_weight, is_short_lane)
 
 
-def _can_answer_alone(view: ServerView, needed: int, figures: EngineFigures) -> bool:
+def _can_answer_alone(view: ServerView, needed: int, profile: EngineProfile) -> bool:
     """Return whether an engine has a free slot and enough memory to answer a prompt alone."""
-    return view.work.requests < figures.slots and free_tokens(view, figures) >= needed
+    return view.work.requests < profile.slots and free_tokens(view, profile) >= needed
 
 
 def _any_can_answer_alone(
-    candidates: Sequence[_Candidate], needed: int, figures: EngineFigures
+    candidates: Sequence[_Candidate], needed: int, profile: EngineProfile
 ) -> bool:
-    return any(_can_answer_alone(candidate.view, needed, figures) for candidate in candidates)
+    return any(_can_answer_alone(candidate.view, needed, profile) for candidate in candidates)
 
 
 def _least_delayed(
-    candidates: Sequence[_Candidate], count: int, part_ms: float, limits: ReadingLimits
+    candidates: Sequence[_Candidate], count: int, part_ms: float, limits: PrefillLimits
 ) -> list[_Candidate]:
     """Return the engines with the least added lateness, then with the least prefill backlog."""
     return nsmallest(
         count,
         candidates,
-        key=lambda one: (_added_lateness(one, part_ms, limits), one.view.work.reading_ms),
+        key=lambda one: (_added_lateness(one, part_ms, limits), one.view.work.prefill_ms),
     )
 
 
@@ -149,19 +149,19 @@
     size: int,
     part_ms: float,
     needed: int,
-    figures: EngineFigures,
-    limits: ReadingLimits,
+    profile: EngineProfile,
+    limits: PrefillLimits,
 ) -> _GroupPlan | None:
     """Return the plan that adds the least lateness for a group of that size."""
     ranked = sorted(
         (
-            (_added_lateness(one, part_ms, limits), one.view.work.reading_ms, one.view)
+            (_added_lateness(one, part_ms, limits), one.view.work.prefill_ms, one.view)
             for one in candidates
         ),
         key=lambda row: row[:2],
     )
-    lateness_by_life_id = {
-        view.server.life_id: added_lateness for added_lateness, _, view in ranked
+    lateness_by_incarnation_id = {
+        view.server.incarnation_id: added_lateness for added_lateness, _, view in ranked
     }
     primaries = [
         (
@@ -170,7 +170,7 @@
             index,
         )
         for index, (added_lateness, backlog_ms, view) in enumerate(ranked)
-        if _can_answer_alone(view, needed, figures)
+        if _can_answer_alone(view, needed, profile)
     ]
     helpers = [view for _, _, view in ranked if not view.is_limited]
     if primaries:
@@ -179,16 +179,18 @@
         group = [primary, *[view for view in helpers if view is not primary][: size - 1]]
     else:
         views = helpers
-        shared = _holdings(views[: MAX_HELPERS + 1], needed, figures)
+        shared = _holdings(views[: MAX_HELPERS + 1], needed, profile)
         if shared is None:
             return None
         holdings = shared
-        holders = {holding.server.life_id for holding in holdings}
-        group = [view for view in views if view.server.life_id in holders]
+        holders = {holding.server.incarnation_id for holding in holdings}
+        group = [view for view in views if view.server.incarnation_id in holders]
         group += [view for view in views if view not in group][: max(0, size - len(group))]
     part_ms = part_ms * size / len(group)
-    placement = make_placement(group, holdings, Lane.LONG, part_ms, figures)
-    return _GroupPlan(placement, sum(lateness_by_life_id[view.server.life_id] for view in group))
+    placement = make_placement(group, holdings, Lane.LONG, part_ms, profile)
+    return _GroupPlan(
+        placement, sum(lateness_by_incarnation_id[view.server.incarnation_id] for view in group)
+    )
 
 
 def _late_cost(prompt: PromptSize, share_of_goal: float) -> float:
@@ -198,7 +200,7 @@
     return value * (late + DELAY_COST * share_of_goal)
 
 
-def _added_lateness(candidate: _Candidate, part_ms: float, limits: ReadingLimits) -> float:
+def _added_lateness(candidate: _Candidate, part_ms: float, limits: PrefillLimits) -> float:
     """Return the expected requests on an engine that a part makes late, in short requests."""
     work = candidate.view.work
     added_lateness = 0.0
@@ -228,31 +230,31 @@
 
 
 def _holdings(
-    group: Sequence[ServerView], needed: int, figures: EngineFigures
+    group: Sequence[ServerView], needed: int, profile: EngineProfile
 ) -> tuple[Holding, ...] | None:
     """Return how a prompt's memory is divided; ``None`` when the group doesn't have enough.
 
     A single engine holds it if possible. Otherwise the engine with the most free memory answers,
     and the others hold as much as they can, in the order of their free memory.
     """
-    by_free_memory = sorted(group, key=lambda view: free_tokens(view, figures), reverse=True)
+    by_free_memory = sorted(group, key=lambda view: free_tokens(view, profile), reverse=True)
     primaries = [
         view
         for view in by_free_memory
-        if view.work.requests < figures.slots and free_tokens(view, figures) > 0
+        if view.work.requests < profile.slots and free_tokens(view, profile) > 0
     ]
-    fitting = [view for view in primaries if free_tokens(view, figures) >= needed]
+    fitting = [view for view in primaries if free_tokens(view, profile) >= needed]
     if fitting:
         primary = min(fitting, key=lambda view: (view.work.requests, view.work.tokens))
         return (Holding(primary.server, needed),)
     if not primaries:
         return None
     primary = primaries[0]
-    left = needed - free_tokens(primary, figures)
-    holdings = [Holding(primary.server, free_tokens(primary, figures))]
+    left = needed - free_tokens(primary, profile)
+    holdings = [Holding(primary.server, free_tokens(primary, profile))]
     for view in by_free_memory:
         if view is not primary and left > 0:
-            tokens = min(left, free_tokens(view, figures))
+            tokens = min(left, free_tokens(view, profile))
             if tokens > 0:
                 holdings.append(Holding(view.server, tokens))
                 left -= tokens
--- a/packages/proxy/src/sassafrastally/proxy/model.py
+++ b/packages/proxy/src/sassafrastally/proxy/model.py
@@ -58,7 +58,7 @@
         return self.kind is RouteKind.IDEMPOTENT
 
 
-class EngineFigures(NamedTuple):
+class EngineProfile(NamedTuple):
     """Published performance and capacity of the model engines of one service."""
 
     slots: int
@@ -70,14 +70,14 @@
     """Time that each decoding request adds to a step."""
     context_ms_per_k: float
     """Time that each 1,000 tokens of a decoding request's context add to a step."""
-    read_tokens_per_ms: float
-    pairs_ms_per_million: float
+    prefill_tokens_per_ms: float
+    attention_ms_per_million_pairs: float
     """Prefill attention time per million pairs of a token and an earlier token."""
     chunk_tokens: int
     """Maximum number of prompt tokens that one step prefills."""
-    stride_steps: int
+    steps_per_pass: int
     """Number of steps in a pass with at least one decoding request; also the tokens per event."""
-    hop_ms: float
+    distributed_step_overhead_ms: float
     """Time added to each step when a prompt is distributed over several engines."""
 
 
@@ -87,7 +87,7 @@
     name: str
     max_connections: int
     """Maximum number of connections that one backend server accepts from all clients together."""
-    engine: EngineFigures | None
+    engine: EngineProfile | None
     """``None`` for a plain service."""
 
 
@@ -134,7 +134,7 @@
     the server doesn't report it."""
 
     @property
-    def life_id(self) -> str:
+    def incarnation_id(self) -> str:
         """ID of this incarnation; state recorded for an earlier one doesn't apply to it."""
         return self.server_id if self.born_ms is None else f"{self.server_id}@{self.born_ms}"
 
@@ -147,7 +147,7 @@
     """Maximum number of output tokens."""
 
 
-class RequestFacts(NamedTuple):
+class RequestMetadata(NamedTuple):
     """Information from a request's header that the request path needs."""
 
     request_id: str
@@ -169,7 +169,7 @@
     """ID of the memory reservation for its part; ``None``: the first engine holds that memory."""
 
 
-class AttemptTerms(NamedTuple):
+class AttemptParameters(NamedTuple):
     """Parameters of one attempt at a backend server, in addition to the caller's header."""
 
     server: BackendServer
@@ -198,7 +198,7 @@
     """Start time in Unix milliseconds; ``None`` if the engine doesn't report it."""
 
 
-class ServerAsks(NamedTuple):
+class BackpressureSignals(NamedTuple):
     """Backpressure signals of a backend server, taken from one of its responses."""
 
     most_per_s: float | None = None
@@ -209,10 +209,10 @@
     """Time for which this process must send it no requests; ``None``: no cool-down."""
 
 
-NOTHING_ASKED = ServerAsks()
+NO_BACKPRESSURE = BackpressureSignals()
 
 
-class AnswerFacts(NamedTuple):
+class ResponseMetadata(NamedTuple):
     """Information from a backend server's response header that the request path needs."""
 
     is_proved_not_run: bool
@@ -222,7 +222,7 @@
     load: ServerLoad | None
     failed_server_address: Address | None
     """Address of another backend server that caused the request to fail."""
-    asks: ServerAsks = NOTHING_ASKED
+    backpressure: BackpressureSignals = NO_BACKPRESSURE
 
 
 class ReservationOutcome(Enum):
--- a/packages/proxy/src/sassafrastally/proxy/moving.py
+++ b/packages/proxy/src/sassafrastally/proxy/moving.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 OVERDUE_FACTOR = 1.5
-OVERDUE_S = 0.1
+OVERDUE_TOLERANCE_S = 0.1
 """A first event is overdue after this factor of its predicted time plus this many seconds. The
 engines that prefill its prompt are then checked for slowness."""
 
@@ -18,7 +18,7 @@
 
 def is_overdue(elapsed_s: float, predicted_s: float) -> bool:
     """Return whether a first event is so late that its engines should be polled."""
-    return elapsed_s > OVERDUE_FACTOR * predicted_s + OVERDUE_S
+    return elapsed_s > OVERDUE_FACTOR * predicted_s + OVERDUE_TOLERANCE_S
 
 
 def remaining_s(elapsed_s: float, predicted_s: float, pace: float) -> float:
--- a/packages/proxy/src/sassafrastally/proxy/pace.py
+++ b/packages/proxy/src/sassafrastally/proxy/pace.py
@@ -35,24 +35,27 @@
     def __init__(self) -> None:
         self._reports: dict[str, _PaceReport] = {}
 
-    def note(self, life_id: str, pace: float, now_s: float) -> None:
+    def note(self, incarnation_id: str, pace: float, now_s: float) -> None:
         """Note the pace in a report."""
-        self._reports[life_id] = _PaceReport(pace, now_s)
+        self._reports[incarnation_id] = _PaceReport(pace, now_s)
 
     def slow(self, now_s: float) -> dict[str, float]:
         """Return the slow engines with their pace."""
         return {
-            life_id: report.pace
-            for life_id, report in self._reports.items()
+            incarnation_id: report.pace
+            for incarnation_id, report in self._reports.items()
             if report.pace >= SLOW_PACE and now_s - report.at_s < REPORT_VALID_S
         }
 
     def forget_gone(self, known: set[str]) -> None:
         """Forget engines that no longer exist."""
-        for life_id in self._reports.keys() - known:
-            del self._reports[life_id]
+        for incarnation_id in self._reports.keys() - known:
+            del self._reports[incarnation_id]
 
 
-def slowest(paces: Mapping[str, float], life_ids: Sequence[str]) -> float:
+def slowest(paces: Mapping[str, float], incarnation_ids: Sequence[str]) -> float:
     """Return the pace of the slowest of these engines."""
-    return max((paces.get(life_id, USUAL_PACE) for life_id in life_ids), default=USUAL_PACE)
+    return max(
+        (paces.get(incarnation_id, USUAL_PACE) for incarnation_id in incarnation_ids),
+        default=USUAL_PACE,
+    )
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -16,8 +16,8 @@
 from sassafrastally.proxy.metrics import REFUSALS, REQUESTS
 from sassafrastally.proxy.model import RouteKind
 from sassafrastally.proxy.plain_request import PlainRequestHandler
+from sassafrastally.proxy.prefill_limits import PrefillLimitsCache
 from sassafrastally.proxy.quarantine_service import QuarantineService
-from sassafrastally.proxy.reading_limits import KnownReadingLimits
 from sassafrastally.proxy.refusals import (
     MAY_HAVE_RUN,
     NO_ANSWER_IN_TIME,
@@ -99,7 +99,7 @@
             quarantine,
             CrashDetector(self.kernel, nursery, fleet_view.liveness, quarantine),
             Reservations(self._dialect, self.kernel, self._cluster_state, backpressure, nursery),
-            KnownReadingLimits(),
+            PrefillLimitsCache(),
         )
         nursery.start_soon(self._clean_up)
 
--- a/packages/proxy/src/sassafrastally/proxy/peer_messages.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_messages.py
@@ -101,7 +101,7 @@
 
 def encode_hello(hello: Hello) -> bytes:
     """Encode a datagram; if too large, drop loads, then suspects, paces and limits."""
-    loads = sorted(hello.loads.items(), key=lambda item: (-item[1].reading_ms, -item[1].requests))
+    loads = sorted(hello.loads.items(), key=lambda item: (-item[1].prefill_ms, -item[1].requests))
     while True:
         data = _encode(hello, loads)
         if len(data) < MAX_DATAGRAM_BYTES:
@@ -254,11 +254,11 @@
         "server": key,
         "shortRequests": work.short_requests,
         "longRequests": work.long_requests,
-        "readingRequests": work.reading_requests,
+        "readingRequests": work.prefill_requests,
         "plainRequests": work.plain_requests,
         "kiloTokens": -(-work.tokens // 1000),
-        "readingMs": int(work.reading_ms),
-        "kiloTokensWriting": -(-work.writing_tokens // 1000),
+        "readingMs": int(work.prefill_ms),
+        "kiloTokensWriting": -(-work.decoding_tokens // 1000),
         "suspectRequests": work.suspect_requests,
     }
 
@@ -267,11 +267,11 @@
     return Work(
         short_requests=load.shortRequests,
         long_requests=load.longRequests,
-        reading_requests=load.readingRequests,
+        prefill_requests=load.readingRequests,
         plain_requests=load.plainRequests,
         tokens=load.kiloTokens * 1000,
-        reading_ms=float(load.readingMs),
-        writing_tokens=load.kiloTokensWriting * 1000,
+        prefill_ms=float(load.readingMs),
+        decoding_tokens=load.kiloTokensWriting * 1000,
         suspect_requests=load.suspectRequests,
     )
 
--- a/packages/proxy/src/sassafrastally/proxy/peer_table.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_table.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.load import add_work
+from sassafrastally.proxy.load import sum_work
 from sassafrastally.proxy.sharing import (
     RELAYS,
     STORE_PROBERS,
@@ -357,4 +357,4 @@
     for mapping in loads:
         for key, work in mapping.items():
             by_server.setdefault(key, []).append(work)
-    return {key: add_work(works) for key, works in by_server.items()}
+    return {key: sum_work(works) for key, works in by_server.items()}
--- a/packages/proxy/src/sassafrastally/proxy/peers.py
+++ b/packages/proxy/src/sassafrastally/proxy/peers.py
@@ -205,7 +205,8 @@
             confirmed_age_s=now_s - self._cluster_state.confirmed_s,
             is_stopping=self._is_stopping,
             loads={
-                server_hash(life_id): work for life_id, work in self._ledger.work(now_s).items()
+                server_hash(incarnation_id): work
+                for incarnation_id, work in self._ledger.work(now_s).items()
             },
             peers=(),
             suspects=self.own_suspects(),
--- a/packages/proxy/src/sassafrastally/proxy/placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/placement.py
@@ -17,9 +17,9 @@
     from collections.abc import Sequence
 
     from sassafrastally.proxy.lanes import Scatter, ServerView
-    from sassafrastally.proxy.model import EngineFigures, PromptSize
+    from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.plan import Placement
-    from sassafrastally.proxy.reading_limits import ReadingLimits
+    from sassafrastally.proxy.prefill_limits import PrefillLimits
 
 
 MAX_PART_SHARE = 0.06
@@ -32,8 +32,8 @@
     lane: Lane,
     prompt: PromptSize,
     goal_s: float,
-    figures: EngineFigures,
-    limits: ReadingLimits,
+    profile: EngineProfile,
+    limits: PrefillLimits,
     scatter: Scatter,
     *,
     by_centre: bool = False,
@@ -48,7 +48,7 @@
     ----------
     views
         The engines, in the order that all entries use.
-    lane, prompt, goal_s, figures, limits, scatter
+    lane, prompt, goal_s, profile, limits, scatter
         As for `place_prompt`.
     by_centre
         Whether the engines of each data centre are split into lanes separately.
@@ -60,8 +60,8 @@
     for candidates in (usual, views) if has_slow else (views,):
         if not candidates:
             continue
-        lanes = split(candidates, figures, scatter)
-        plan = place_prompt(lanes, lane, prompt, goal_s, figures, limits, scatter)
+        lanes = split(candidates, profile, scatter)
+        plan = place_prompt(lanes, lane, prompt, goal_s, profile, limits, scatter)
         if plan is None:
             continue
         plans.append(_with_lanes(plan, lanes, candidates, limits))
@@ -71,17 +71,17 @@
 
 
 def _with_lanes(
-    plan: Placement, lanes: Lanes, views: Sequence[ServerView], limits: ReadingLimits
+    plan: Placement, lanes: Lanes, views: Sequence[ServerView], limits: PrefillLimits
 ) -> Placement:
     """Return a plan with the sizes and the prefill backlog of its lanes."""
     readers = len(lanes.long)
     max_part_ms = MAX_PART_SHARE * limits.longest_goal_s * 1000
     backlog_ms = sum(
-        min(view.work.reading_ms, max_part_ms * view.work.reading_requests) for view in views
+        min(view.work.prefill_ms, max_part_ms * view.work.prefill_requests) for view in views
     )
     return plan._replace(
         lanes=f"{readers}+{len(lanes.short)}",
-        own_s=sum(part.reading_ms for part in plan.parts) / 1000 / readers,
+        own_s=sum(part.prefill_ms for part in plan.parts) / 1000 / readers,
         backlog_s=backlog_ms / 1000 / readers,
     )
 
@@ -91,8 +91,8 @@
     lane: Lane,
     prompt: PromptSize,
     goal_s: float,
-    figures: EngineFigures,
-    limits: ReadingLimits,
+    profile: EngineProfile,
+    limits: PrefillLimits,
     scatter: Scatter,
 ) -> Placement | None:
     """Return the placement of a prompt; ``None`` when no engine has room.
@@ -107,19 +107,19 @@
         Size of the prompt.
     goal_s
         Goal for the time to its first event.
-    figures
-        Performance figures of the engines.
+    profile
+        Performance profile of the engines.
     limits
         Limits on the prefill time that a prompt adds to a pass.
     scatter
         Randomizes the choice among equally good engines.
     """
     if lane is Lane.SHORT:
-        return place_short(lanes, prompt, goal_s, figures, limits, scatter)
-    within_limits = place_long(lanes, prompt, goal_s, figures, limits, scatter)
+        return place_short(lanes, prompt, goal_s, profile, limits, scatter)
+    within_limits = place_long(lanes, prompt, goal_s, profile, limits, scatter)
     if within_limits is not None and within_limits.predicted_s <= goal_s:
         return within_limits
-    ignoring_limits = place_long(_without_limits(lanes), prompt, goal_s, figures, limits, scatter)
+    ignoring_limits = place_long(_without_limits(lanes), prompt, goal_s, profile, limits, scatter)
     plans = [plan for plan in (within_limits, ignoring_limits) if plan is not None]
     return min(plans, key=lambda plan: plan.predicted_s, default=None)
 
--- a/packages/proxy/src/sassafrastally/proxy/plain_request.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain_request.py
@@ -7,7 +7,7 @@
 import trio
 
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
-from sassafrastally.proxy.load import Flight, Lane
+from sassafrastally.proxy.load import InFlightAttempt, Lane
 from sassafrastally.proxy.log_events import RequestAnswered
 from sassafrastally.proxy.metrics import count_answer
 from sassafrastally.proxy.plain_placement import place_plain
@@ -81,12 +81,14 @@
         self._begin_attempt(server)
         begin_s = self._clock.now_s()
         self._log_placed(server)
-        flight = Flight(server.life_id, Lane.PLAIN, is_suspect=self._is_suspect())
-        self._services.fleet_view.ledger.add(flight, begin_s)
+        in_flight = InFlightAttempt(
+            server.incarnation_id, Lane.PLAIN, is_suspect=self._is_suspect()
+        )
+        self._services.fleet_view.ledger.add(in_flight, begin_s)
         try:
             with trio.move_on_at(self._attempt_deadline_s(begin_s)):
                 answer = await self._exchange(server, begin_s)
-                self._services.fleet_view.note_success(server.life_id)
+                self._services.fleet_view.note_success(server.incarnation_id)
                 self._record_success(answer.status)
                 return answer
             await self._record_unknown(server, begin_s, "no answer within the attempt's time limit")
@@ -95,7 +97,7 @@
         except AttemptUnknown as cause:
             await self._record_unknown(server, begin_s, cause)
         finally:
-            self._services.fleet_view.ledger.remove(flight, self._clock.now_s())
+            self._services.fleet_view.ledger.remove(in_flight, self._clock.now_s())
         return None
 
     def _attempt_deadline_s(self, begin_s: float) -> float:
--- a/packages/proxy/src/sassafrastally/proxy/plan.py
+++ b/packages/proxy/src/sassafrastally/proxy/plan.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sassafrastally.proxy.engine_time import MAX_HELPERS, pass_ms
-from sassafrastally.proxy.load import NO_WORK, Lane, Part
+from sassafrastally.proxy.load import NO_WORK, Lane, PrefillPart
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from sassafrastally.proxy.lanes import ServerView
-    from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize
+    from sassafrastally.proxy.model import BackendServer, EngineProfile, PromptSize
 
 USABLE_MEMORY_SHARE = 0.96
 """Share of an engine's memory that is allocated. The rest is a reserve for requests of other
@@ -36,7 +36,7 @@
     server: BackendServer
     helpers: tuple[BackendServer, ...]
     lane: Lane
-    parts: tuple[Part, ...]
+    parts: tuple[PrefillPart, ...]
     holdings: tuple[Holding, ...]
     """Memory of the prompt, that of the answering engine first. Memory on the other engines has to
     be reserved."""
@@ -52,32 +52,32 @@
     """Sizes of the long and the short lane at the time of the decision, for the log."""
 
 
-def most_prompt_tokens(figures: EngineFigures) -> int:
+def max_prompt_tokens(profile: EngineProfile) -> int:
     """Return the largest prompt that a group of engines can hold."""
-    return (MAX_HELPERS + 1) * figures.memory_tokens
+    return (MAX_HELPERS + 1) * profile.memory_tokens
 
 
-def free_tokens(view: ServerView, figures: EngineFigures) -> int:
+def free_tokens(view: ServerView, profile: EngineProfile) -> int:
     """Return the memory of an engine that is still free for a prompt."""
     # Entries that place prompts at the same time can briefly overcommit an engine's memory.
-    return max(0, int(USABLE_MEMORY_SHARE * figures.memory_tokens) - view.work.tokens)
+    return max(0, int(USABLE_MEMORY_SHARE * profile.memory_tokens) - view.work.tokens)
 
 
-def has_room(view: ServerView, prompt: PromptSize, figures: EngineFigures) -> bool:
+def has_room(view: ServerView, prompt: PromptSize, profile: EngineProfile) -> bool:
     """Return whether an engine has a free slot and enough memory for a prompt."""
     needed = prompt.prompt_tokens + prompt.output_tokens
-    return free_tokens(view, figures) >= needed and view.work.requests < figures.slots
+    return free_tokens(view, profile) >= needed and view.work.requests < profile.slots
 
 
-def first_event_ms(view: ServerView, part_ms: float, figures: EngineFigures) -> float:
+def first_event_ms(view: ServerView, part_ms: float, profile: EngineProfile) -> float:
     """Return the predicted time to a prompt's first event.
 
     The sum of the rest of the current pass, the prefill backlog, the prompt's part and one pass.
     """
     work = view.work
-    one_pass_ms = pass_ms(figures, work.requests, work.tokens) * view.pace
+    one_pass_ms = pass_ms(profile, work.requests, work.tokens) * view.pace
     current_pass_ms = one_pass_ms / 2 if work.requests else 0.0
-    return current_pass_ms + work.reading_ms + part_ms * view.pace + one_pass_ms
+    return current_pass_ms + work.prefill_ms + part_ms * view.pace + one_pass_ms
 
 
 def make_placement(
@@ -85,7 +85,7 @@
     holdings: tuple[Holding, ...],
     lane: Lane,
     part_ms: float,
-    figures: EngineFigures,
+    profile: EngineProfile,
 ) -> Placement:
     """Return the plan for a group of engines.
 
@@ -99,17 +99,17 @@
         Lane of the prompt.
     part_ms
         Prefill time of each engine's part.
-    figures
-        Performance figures of the engines.
+    profile
+        Performance profile of the engines.
     """
     server = holdings[0].server
-    predicted_ms = max(first_event_ms(view, part_ms, figures) for view in group)
-    alone_ms = max(first_event_ms(_idle(view), part_ms, figures) for view in group)
+    predicted_ms = max(first_event_ms(view, part_ms, profile) for view in group)
+    alone_ms = max(first_event_ms(_idle(view), part_ms, profile) for view in group)
     return Placement(
         server=server,
         helpers=tuple(view.server for view in group if view.server is not server),
         lane=lane,
-        parts=tuple(Part(view.server.life_id, part_ms * view.pace) for view in group),
+        parts=tuple(PrefillPart(view.server.incarnation_id, part_ms * view.pace) for view in group),
         holdings=holdings,
         predicted_s=predicted_ms / 1000,
         alone_s=alone_ms / 1000,
--- a/packages/proxy/src/sassafrastally/proxy/pool.py
+++ b/packages/proxy/src/sassafrastally/proxy/pool.py
@@ -41,7 +41,7 @@
 
     async def take(self, server: BackendServer) -> HttpStream | None:
         """Return an idle connection that still looks usable, or ``None``."""
-        kept = self._idle.get(server.life_id, [])
+        kept = self._idle.get(server.incarnation_id, [])
         while kept:
             idle = kept.pop()
             # Unread input is either a second response to an earlier request or the end of the
@@ -54,7 +54,7 @@
 
     async def put_back(self, server: BackendServer, connection: HttpStream) -> None:
         """Return a connection to the pool after a complete response, or close it if unusable."""
-        kept = self._idle.setdefault(server.life_id, [])
+        kept = self._idle.setdefault(server.incarnation_id, [])
         if len(kept) >= MAX_IDLE_PER_SERVER or connection.has_unread_input():
             await connection.close()
             return
@@ -72,10 +72,10 @@
         days of server replacements they would exhaust the process's file descriptors.
         """
         oldest_s = trio.current_time() - IDLE_TIME_S
-        for life_id, kept in list(self._idle.items()):
+        for incarnation_id, kept in list(self._idle.items()):
             expired = [idle for idle in kept if idle.since_s < oldest_s]
             kept[:] = [idle for idle in kept if idle.since_s >= oldest_s]
             if not kept:
-                del self._idle[life_id]
+                del self._idle[incarnation_id]
             for idle in expired:
                 await idle.connection.close()
--- a/packages/proxy/src/sassafrastally/proxy/reading_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/prefill_limits.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from sassafrastally.proxy.model import Configuration, EngineFigures, Route
+    from sassafrastally.proxy.model import Configuration, EngineProfile, Route
 
 UNDECLARED_PAUSE_S = 1.0
 """Pause goal of routes that declare none: long enough not to restrict the other routes."""
@@ -47,14 +47,14 @@
 the long prompts on an engine can come from any of them."""
 
 
-class ReadingLimits(NamedTuple):
+class PrefillLimits(NamedTuple):
     """Limits on the prefill time that a prompt adds to a pass."""
 
     strict_pause_ms: float
     """Pause that the strictest route allows."""
-    short_part_ms: float
+    max_short_part_ms: float
     """Longest prefill of a short prompt on one engine; larger prompts get helpers."""
-    least_part_ms: float
+    min_long_part_ms: float
     """Shortest prefill time of a long prompt's part."""
     short_pauses_ms: tuple[float, float]
     """Pauses of short requests at which the probability of lateness starts to rise and is one."""
@@ -69,16 +69,16 @@
         return allowed_ms >= TOLERANT_FACTOR * self.strict_pause_ms
 
 
-class KnownReadingLimits:
+class PrefillLimitsCache:
     """Cache of the limits by service, computed once per configuration version."""
 
     def __init__(self) -> None:
         self._version: int | None = None
-        self._by_service: dict[str, ReadingLimits] = {}
+        self._by_service: dict[str, PrefillLimits] = {}
 
-    def of(
-        self, configuration: Configuration, service: str, figures: EngineFigures
-    ) -> ReadingLimits:
+    def for_service(
+        self, configuration: Configuration, service: str, profile: EngineProfile
+    ) -> PrefillLimits:
         """Return the limits for the engines of a service."""
         if self._version != configuration.version:
             self._version = configuration.version
@@ -89,19 +89,19 @@
                 for route in configuration.routes
                 if any(share.service == service for share in route.shares)
             )
-            self._by_service[service] = reading_limits(routes, figures)
+            self._by_service[service] = prefill_limits_for(routes, profile)
         return self._by_service[service]
 
 
-def reading_limits(routes: Iterable[Route], figures: EngineFigures) -> ReadingLimits:
+def prefill_limits_for(routes: Iterable[Route], profile: EngineProfile) -> PrefillLimits:
     """Return the limits for the routes of one service.
 
     Parameters
     ----------
     routes
         Routes to the service; those that don't stream are ignored.
-    figures
-        Performance figures of the engines.
+    profile
+        Performance profile of the engines.
     """
     routes = [route for route in routes if route.kind is RouteKind.STREAM]
     pauses_ms = sorted(
@@ -113,14 +113,14 @@
     shortest_ms, longest_ms = (
         (tolerant_ms[0], tolerant_ms[-1]) if tolerant_ms else (strict_ms, strict_ms)
     )
-    full_pass_ms = pass_ms(figures, figures.slots, 0)
+    full_pass_ms = pass_ms(profile, profile.slots, 0)
     slack_ms = max(strict_ms - full_pass_ms, full_pass_ms / 2)
     long_from_ms = TOLERANT_LATENESS_RISES_FROM * shortest_ms
     goals_s = [route.goal_s for route in routes if route.goal_s is not None]
-    return ReadingLimits(
+    return PrefillLimits(
         strict_pause_ms=strict_ms,
-        short_part_ms=SHORT_PART_SHARE * slack_ms,
-        least_part_ms=MIN_PART_PASSES * full_pass_ms,
+        max_short_part_ms=SHORT_PART_SHARE * slack_ms,
+        min_long_part_ms=MIN_PART_PASSES * full_pass_ms,
         short_pauses_ms=(LATENESS_RISES_FROM * strict_ms, LATENESS_RISES_TO * strict_ms),
         long_pauses_ms=(
             long_from_ms,
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
@@ -118,7 +118,7 @@
         """Record that a server crashed while it ran a request of this entry."""
         verdict = self._quarantine.note_crash(
             fingerprint,
-            server_hash(server.life_id),
+            server_hash(server.incarnation_id),
             self._now_s,
             age_s=age_s,
             is_own=True,
--- a/packages/proxy/src/sassafrastally/proxy/rate_shares.py
+++ b/packages/proxy/src/sassafrastally/proxy/rate_shares.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-LEAST_PER_S = 0.5
+MIN_LIMIT_PER_S = 0.5
 """Lowest rate of requests to a limited server. Only its answers show when the limit has risen, and
 until then callers are rejected."""
 
@@ -41,18 +41,18 @@
 """The long window enforces the limit, as servers count over some seconds. The short one prevents an
 entry from sending the requests of the long one in a single burst."""
 
-SENT_HISTORY_S = BASE_SENDERS / LEAST_PER_S
+SENT_HISTORY_S = BASE_SENDERS / MIN_LIMIT_PER_S
 """How long sent requests are kept: the interval between two requests at the smallest share."""
 
 
 def own_share_per_s(
-    life_id: str, most_per_s: float, own_host: str, others: Collection[str]
+    incarnation_id: str, most_per_s: float, own_host: str, others: Collection[str]
 ) -> float:
     """Return this entry's request rate to a server; 0 if other entries share the limit.
 
     Parameters
     ----------
-    life_id
+    incarnation_id
         The server.
     most_per_s
         Requests per second that it accepts from all entries together.
@@ -61,18 +61,18 @@
     others
         All other entries that can send to it.
     """
-    accepted_per_s = max(LEAST_PER_S, most_per_s)
+    accepted_per_s = max(MIN_LIMIT_PER_S, most_per_s)
     senders = min(int(BASE_SENDERS + SENDERS_PER_REQUEST * accepted_per_s), 1 + len(others))
     if senders <= len(others):
-        own_rank = _rank(life_id, own_host)
-        before = sum(1 for host in others if _rank(life_id, host) > own_rank)
+        own_rank = _rank(incarnation_id, own_host)
+        before = sum(1 for host in others if _rank(incarnation_id, host) > own_rank)
         if before >= senders:
             return 0.0
     return accepted_per_s / senders
 
 
-def _rank(life_id: str, host: str) -> int:
-    return server_hash(f"{host} {life_id}")
+def _rank(incarnation_id: str, host: str) -> int:
+    return server_hash(f"{host} {incarnation_id}")
 
 
 class SentRequests:
--- a/packages/proxy/src/sassafrastally/proxy/report_duty.py
+++ b/packages/proxy/src/sassafrastally/proxy/report_duty.py
@@ -10,7 +10,7 @@
 
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.pace import SLOW_PACE
-from sassafrastally.proxy.rate_shares import LEAST_PER_S
+from sassafrastally.proxy.rate_shares import MIN_LIMIT_PER_S
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,7 +31,7 @@
 """Share of a rate-limited engine's requests that is used for its reports."""
 
 
-def polls_engine(life_id: str, own_host: str, hosts: Iterable[str] | None) -> bool:
+def polls_engine(incarnation_id: str, own_host: str, hosts: Iterable[str] | None) -> bool:
     """Return whether this entry polls an engine for its reports.
 
     Uses rendezvous hashing, so that all entries compute the same assignment and only the engines of
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    life_id
+    incarnation_id
         The engine.
     own_host
         This entry.
@@ -49,7 +49,7 @@
     """
     if hosts is None:
         return False
-    return own_host == max(hosts, key=lambda host: _rank(life_id, host), default=None)
+    return own_host == max(hosts, key=lambda host: _rank(incarnation_id, host), default=None)
 
 
 def report_interval_s(pace: float, limit_per_s: float | None, *, is_doubted: bool) -> float:
@@ -65,11 +65,13 @@
         Whether an attempt at it has an overdue first event.
     """
     if limit_per_s is not None:
-        return max(REPORT_INTERVAL_S, 1 / (REPORT_SHARE_OF_LIMIT * max(LEAST_PER_S, limit_per_s)))
+        return max(
+            REPORT_INTERVAL_S, 1 / (REPORT_SHARE_OF_LIMIT * max(MIN_LIMIT_PER_S, limit_per_s))
+        )
     if is_doubted:
         return DOUBTED_INTERVAL_S
     return SLOW_INTERVAL_S if pace >= SLOW_PACE else REPORT_INTERVAL_S
 
 
-def _rank(life_id: str, host: str) -> int:
-    return server_hash(f"{host} {life_id}")
+def _rank(incarnation_id: str, host: str) -> int:
+    return server_hash(f"{host} {incarnation_id}")
--- a/packages/proxy/src/sassafrastally/proxy/reports.py
+++ b/packages/proxy/src/sassafrastally/proxy/reports.py
@@ -77,7 +77,7 @@
             engines = self._engines()
             await self._forget_gone(engines)
             for engine in self._engines_due(engines):
-                self._polled_s[engine.life_id] = self.kernel.clock.now_s()
+                self._polled_s[engine.incarnation_id] = self.kernel.clock.now_s()
                 self._nursery.start_soon(self._poll, engine)
             self._fleet_view.waiting_attempts.notify_slow_engines(self._fleet_view.paces())
 
@@ -99,15 +99,15 @@
         paces = self._fleet_view.paces()
         due = []
         for engine in engines:
-            life_id = engine.life_id
-            is_doubted = life_id in doubted
+            incarnation_id = engine.incarnation_id
+            is_doubted = incarnation_id in doubted
             polling_hosts = hosts[engine.data_centre]
-            if not is_doubted and not polls_engine(life_id, self._own_host, polling_hosts):
+            if not is_doubted and not polls_engine(incarnation_id, self._own_host, polling_hosts):
                 continue
-            pace = paces.get(life_id, USUAL_PACE)
-            limit_per_s = self._backpressure.limit_of(life_id)
+            pace = paces.get(incarnation_id, USUAL_PACE)
+            limit_per_s = self._backpressure.limit_of(incarnation_id)
             interval_s = report_interval_s(pace, limit_per_s, is_doubted=is_doubted)
-            is_due = now_s - self._polled_s.get(life_id, float("-inf")) >= interval_s
+            is_due = now_s - self._polled_s.get(incarnation_id, float("-inf")) >= interval_s
             if is_due and self._backpressure.is_open(engine):
                 due.append(engine)
         return due
@@ -128,16 +128,16 @@
 
     def _poll_for_request(self, engine: BackendServer, request_id: str) -> None:
         """Request an engine's report at once; an engine that doesn't answer is avoided."""
-        if engine.life_id not in self._polling and self._backpressure.is_open(engine):
+        if engine.incarnation_id not in self._polling and self._backpressure.is_open(engine):
             self._nursery.start_soon(self._poll, engine, request_id)
 
     async def _poll(self, engine: BackendServer, request_id: str = "") -> None:
         """Request an engine's report and record its pace, or the failure."""
-        self._polling.add(engine.life_id)
+        self._polling.add(engine.incarnation_id)
         try:
             await self._exchange(engine, request_id)
         finally:
-            self._polling.discard(engine.life_id)
+            self._polling.discard(engine.incarnation_id)
 
     async def _exchange(self, engine: BackendServer, request_id: str) -> None:
         client = self._calls.setdefault(engine.address, CallClient(engine.address))
@@ -150,18 +150,18 @@
             report = self._dialect.decode_report(status, body)
         except (AnswerLost, DocumentInvalid) as cause:
             self.kernel.events.emit(ReportFailed(engine.server_id, cause.detail, request_id))
-            failures = self._failures.get(engine.life_id, 0) + 1
-            self._failures[engine.life_id] = failures
+            failures = self._failures.get(engine.incarnation_id, 0) + 1
+            self._failures[engine.incarnation_id] = failures
             if self._is_probably_cut_off():
                 return
             if request_id or failures >= FAILURES_IN_A_ROW:
                 reason = f"no report: {cause.detail}"
                 self._fleet_view.note_failure(engine, reason, request_id, is_clear=True)
             return
-        self._failures.pop(engine.life_id, None)
+        self._failures.pop(engine.incarnation_id, None)
         if report.born_ms is not None and report.born_ms != engine.born_ms:
             return  # Another incarnation answers; its store record will follow.
-        was_slow = engine.life_id in self._fleet_view.paces()
+        was_slow = engine.incarnation_id in self._fleet_view.paces()
         self._fleet_view.note_pace(engine, report.pace)
         if report.pace >= SLOW_PACE and not was_slow:
             self.kernel.events.emit(EngineSlow(engine.server_id, report.pace))
@@ -176,10 +176,10 @@
         return len(self._failures) > MAX_FAILING_SHARE * len(self._polled_s)
 
     async def _forget_gone(self, engines: list[BackendServer]) -> None:
-        known = {engine.life_id for engine in engines}
-        for life_id in self._polled_s.keys() - known:
-            del self._polled_s[life_id]
-            self._failures.pop(life_id, None)
+        known = {engine.incarnation_id for engine in engines}
+        for incarnation_id in self._polled_s.keys() - known:
+            del self._polled_s[incarnation_id]
+            self._failures.pop(incarnation_id, None)
         addresses = {engine.address for engine in engines}
         for address in self._calls.keys() - addresses:
             await self._calls.pop(address).close()
--- a/packages/proxy/src/sassafrastally/proxy/request_handler.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_handler.py
@@ -10,10 +10,10 @@
 from sassafrastally.proxy.fingerprint import fingerprint_text
 from sassafrastally.proxy.log_events import AttemptFailed, RequestPlaced, RetryBudgetSpent
 from sassafrastally.proxy.metrics import ATTEMPTS_FAILED
-from sassafrastally.proxy.model import AttemptTerms
+from sassafrastally.proxy.model import AttemptParameters
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, QUARANTINED, SERVERS_LIMITED, TURNED_AWAY
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
-from sassafrastally.proxy.turning_away import LEAST_S, come_back_after_s
+from sassafrastally.proxy.turning_away import MIN_RETRY_DELAY_S, come_back_after_s
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -81,7 +81,7 @@
             return LocalReply(refusal, detail, come_back_after_s(time_left_s, random_share))
         refusal = TURNED_AWAY if self.progress.attempts else SERVERS_LIMITED
         detail = f"service {service}: the next one takes a request in {available_in_s:.2f} s"
-        return LocalReply(refusal, detail, max(LEAST_S, available_in_s))
+        return LocalReply(refusal, detail, max(MIN_RETRY_DELAY_S, available_in_s))
 
     def _quarantine_reply(self) -> LocalReply | None:
         """Return the local reply if the request is quarantined."""
@@ -126,9 +126,9 @@
         begin_s: float,
         last_event_id: int | None,
         helpers: tuple[Helper, ...] = (),
-    ) -> AttemptTerms:
+    ) -> AttemptParameters:
         """Return the parameters of an attempt."""
-        return AttemptTerms(
+        return AttemptParameters(
             server=server,
             time_left_s=self._task.time_left_s(begin_s),
             customer=self._task.customer_name,
@@ -139,7 +139,7 @@
     def _begin_attempt(self, server: BackendServer, helpers: Sequence[BackendServer] = ()) -> None:
         self.progress.attempts += 1
         self.progress.sent += 1
-        self.progress.tried.add(server.life_id)
+        self.progress.tried.add(server.incarnation_id)
         self.progress.pending = server
         self._services.backpressure.count_request(server, CallKind.ATTEMPT)
         for helper in helpers:
--- a/packages/proxy/src/sassafrastally/proxy/request_services.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_services.py
@@ -12,8 +12,8 @@
     from sassafrastally.proxy.crash_detector import CrashDetector
     from sassafrastally.proxy.dialect import Dialect
     from sassafrastally.proxy.fleet_view import FleetView
+    from sassafrastally.proxy.prefill_limits import PrefillLimitsCache
     from sassafrastally.proxy.quarantine_service import QuarantineService
-    from sassafrastally.proxy.reading_limits import KnownReadingLimits
     from sassafrastally.proxy.reservations import Reservations
 
 
@@ -38,5 +38,5 @@
     """Checks whether servers that interrupted a response have crashed."""
     reservations: Reservations
     """Memory reservations on engines."""
-    limits: KnownReadingLimits
+    limits: PrefillLimitsCache
     """Limits on how much prefill may lengthen the engines' passes."""
--- a/packages/proxy/src/sassafrastally/proxy/reservations.py
+++ b/packages/proxy/src/sassafrastally/proxy/reservations.py
@@ -90,7 +90,7 @@
 
     @asynccontextmanager
     async def hold(self, holdings: Sequence[Holding]) -> AsyncIterator[Mapping[str, str]]:
-        """Hold memory on all of these engines; yield the reservation ID by `life_id`.
+        """Hold memory on all of these engines; yield the reservation ID by `incarnation_id`.
 
         Raises
         ------
@@ -111,7 +111,7 @@
             # the attempt in an exception group, which no caller expects.
             self._nursery.start_soon(self._renew, reservations, renewing)
             yield {
-                reservation.holding.server.life_id: reservation.reservation_id
+                reservation.holding.server.incarnation_id: reservation.reservation_id
                 for reservation in reservations
             }
         finally:
--- a/packages/proxy/src/sassafrastally/proxy/routes.py
+++ b/packages/proxy/src/sassafrastally/proxy/routes.py
@@ -10,7 +10,7 @@
     from sassafrastally.proxy.model import (
         Configuration,
         Customer,
-        RequestFacts,
+        RequestMetadata,
         Route,
         ServiceShare,
     )
@@ -49,7 +49,7 @@
 
 
 def find_customer(
-    configuration: Configuration, route: Route, facts: RequestFacts
+    configuration: Configuration, route: Route, facts: RequestMetadata
 ) -> Customer | UnknownKey | None:
     """Return the customer of a request; ``None`` if the request doesn't need one."""
     if configuration.customers_by_key is None:
--- a/packages/proxy/src/sassafrastally/proxy/server_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/server_limits.py
@@ -48,7 +48,7 @@
 
 
 class ServerLimits:
-    """Rate limits by hash of the server's ``life_id``."""
+    """Rate limits by hash of the server's ``incarnation_id``."""
 
     def __init__(self) -> None:
         self._records: dict[int, _LimitRecord] = {}
--- a/packages/proxy/src/sassafrastally/proxy/sharing.py
+++ b/packages/proxy/src/sassafrastally/proxy/sharing.py
@@ -84,8 +84,8 @@
         Its current work by engine.
     """
     return any(
-        work.reading_ms >= URGENT_PREFILL_MS
-        and work.reading_requests > reported.get(server, NO_WORK).reading_requests
+        work.prefill_ms >= URGENT_PREFILL_MS
+        and work.prefill_requests > reported.get(server, NO_WORK).prefill_requests
         for server, work in current.items()
     )
 
--- a/packages/proxy/src/sassafrastally/proxy/slowness.py
+++ b/packages/proxy/src/sassafrastally/proxy/slowness.py
@@ -11,7 +11,7 @@
 from sassafrastally.proxy.engine_time import pass_ms
 
 if TYPE_CHECKING:
-    from sassafrastally.proxy.model import EngineFigures
+    from sassafrastally.proxy.model import EngineProfile
 
 SLOW_FACTOR = 2.0
 """An event that takes this many times the longest pass without prefill indicates a slow engine or
@@ -36,35 +36,35 @@
         self._in_a_row: dict[str, int] = {}
         self._until_s: dict[str, float] = {}
 
-    def note_usual(self, life_id: str) -> None:
+    def note_usual(self, incarnation_id: str) -> None:
         """Note an event that arrived in the usual time."""
-        self._in_a_row.pop(life_id, None)
+        self._in_a_row.pop(incarnation_id, None)
 
-    def note_slow(self, life_id: str, servers: int, now_s: float) -> bool:
+    def note_slow(self, incarnation_id: str, servers: int, now_s: float) -> bool:
         """Note a slow event not caused by known prefill; return whether its engine is ejected.
 
         Parameters
         ----------
-        life_id
+        incarnation_id
             The engine.
         servers
             Number of the service's engines.
         now_s
             Present time.
         """
-        count = self._in_a_row.get(life_id, 0) + 1
-        self._in_a_row[life_id] = count
-        others = self.slow_servers(now_s).keys() - {life_id}
+        count = self._in_a_row.get(incarnation_id, 0) + 1
+        self._in_a_row[incarnation_id] = count
+        others = self.slow_servers(now_s).keys() - {incarnation_id}
         if count < SLOW_EVENTS_IN_A_ROW or len(others) + 1 > MAX_EJECTED_SHARE * servers:
             return False
-        del self._in_a_row[life_id]
-        self._until_s[life_id] = now_s + LEFT_ALONE_S
+        del self._in_a_row[incarnation_id]
+        self._until_s[incarnation_id] = now_s + LEFT_ALONE_S
         return True
 
     def forget_gone(self, known: set[str]) -> None:
         """Forget engines that no longer exist."""
-        for life_id in self._in_a_row.keys() - known:
-            del self._in_a_row[life_id]
+        for incarnation_id in self._in_a_row.keys() - known:
+            del self._in_a_row[incarnation_id]
 
     def slow_servers(self, now_s: float) -> dict[str, float]:
         """Return the ejected engines with the remaining time in seconds."""
@@ -72,6 +72,6 @@
         return {key: until - now_s for key, until in self._until_s.items()}
 
 
-def slow_event_time_s(figures: EngineFigures) -> float:
+def slow_event_time_s(profile: EngineProfile) -> float:
     """Return the time from which an event is slow on an engine that doesn't prefill."""
-    return SLOW_FACTOR * pass_ms(figures, figures.slots, figures.memory_tokens) / 1000
+    return SLOW_FACTOR * pass_ms(profile, profile.slots, profile.memory_tokens) / 1000
--- a/packages/proxy/src/sassafrastally/proxy/streaming_request.py
+++ b/packages/proxy/src/sassafrastally/proxy/streaming_request.py
@@ -12,13 +12,13 @@
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.event_stream import EventSplitter, StreamEvent
 from sassafrastally.proxy.lanes import Scatter, lane_of
-from sassafrastally.proxy.load import Flight, Lane
+from sassafrastally.proxy.load import InFlightAttempt, Lane
 from sassafrastally.proxy.log_events import RequestAnswered
 from sassafrastally.proxy.metrics import count_answer
 from sassafrastally.proxy.model import Helper
 from sassafrastally.proxy.moving import is_worth_moving, remaining_s
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.plan import most_prompt_tokens
+from sassafrastally.proxy.plan import max_prompt_tokens
 from sassafrastally.proxy.pools import stays_near
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_ROOM, NO_SERVER, TOO_LONG, TURNED_AWAY
 from sassafrastally.proxy.request_handler import SERVER_ERROR_STATUS, RequestHandler
@@ -32,7 +32,7 @@
 
     from sassafrastally.proxy.attempt import Answer
     from sassafrastally.proxy.lanes import ServerView
-    from sassafrastally.proxy.model import EngineFigures, PromptSize
+    from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.reply import Reply
     from sassafrastally.proxy.request_services import RequestServices
@@ -64,14 +64,14 @@
         services: RequestServices,
         task: RequestTask,
         reply: Reply,
-        figures: EngineFigures,
+        profile: EngineProfile,
         prompt: PromptSize,
     ) -> None:
         super().__init__(services, task, reply)
-        self._figures = figures
+        self._profile = profile
         self._prompt = prompt
-        self._limits = services.limits.of(task.configuration, task.service, figures)
-        self._lane = lane_of(task.route, prompt, figures, self._limits)
+        self._limits = services.limits.for_service(task.configuration, task.service, profile)
+        self._lane = lane_of(task.route, prompt, profile, self._limits)
         self._last_event_id = task.request.facts.last_event_id
         self._first_s: float | None = None
         self._previous_s = 0.0
@@ -80,7 +80,7 @@
 
     async def run(self) -> LocalReply | None:
         """Handle the request; return a local reply if there is no complete response."""
-        most_tokens = most_prompt_tokens(self._figures)
+        most_tokens = max_prompt_tokens(self._profile)
         if self._prompt.prompt_tokens > most_tokens:
             return LocalReply(TOO_LONG, f"at most {most_tokens} tokens")
         while True:
@@ -111,10 +111,10 @@
         """Return a summary of the engines' load for the log and the caller."""
         views = self._services.fleet_view.views(self._task.service, self.progress.tried)
         requests = sum(view.work.requests for view in views)
-        reading_s = max((view.work.reading_ms for view in views), default=0.0) / 1000
+        prefill_s = max((view.work.prefill_ms for view in views), default=0.0) / 1000
         return (
-            f"{len(views)} engines with {self._figures.slots} slots, {requests} requests, "
-            f"up to {reading_s:.1f} s of reading, "
+            f"{len(views)} engines with {self._profile.slots} slots, {requests} requests, "
+            f"up to {prefill_s:.1f} s of reading, "
             f"{self._services.fleet_view.entries - 1} peers heard, "
             f"servers confirmed {self._services.fleet_view.beliefs_age_s:.1f} s ago"
         )
@@ -142,7 +142,7 @@
             self._lane,
             self._prompt,
             self._goal_s(),
-            self._figures,
+            self._profile,
             self._limits,
             Scatter(self._services.kernel.random, fleet_view.update_age_s),
             by_centre=fleet_view.is_divided(self._task.service),
@@ -164,22 +164,22 @@
         self._begin_attempt(server, placement.helpers)
         begin_s = self._clock.now_s()
         self._log_placed(server, placement)
-        memory = {holding.server.life_id: holding.tokens for holding in placement.holdings}
+        memory = {holding.server.incarnation_id: holding.tokens for holding in placement.holdings}
         due_s = begin_s + placement.predicted_s
-        flight = Flight(
-            server.life_id,
+        in_flight = InFlightAttempt(
+            server.incarnation_id,
             placement.lane,
             memory,
             placement.parts,
             due_s,
             is_suspect=self._is_suspect(),
         )
-        self._services.fleet_view.ledger.add(flight, begin_s)
+        self._services.fleet_view.ledger.add(in_flight, begin_s)
         cancel_scope = trio.CancelScope(
             deadline=trio.current_time() + self._first_event_timeout_s(placement)
         )
         attempt = WaitingAttempt(
-            tuple(part.life_id for part in placement.parts),
+            tuple(part.incarnation_id for part in placement.parts),
             begin_s,
             placement.predicted_s,
             cancel_scope,
@@ -187,7 +187,7 @@
             self._task.fingerprint,
         )
         try:
-            return await self._exchange(placement, flight, attempt)
+            return await self._exchange(placement, in_flight, attempt)
         except AttemptNotRun as cause:
             self._record_not_run(server, begin_s, cause, placement.helpers)
         except AttemptUnknown as cause:
@@ -196,11 +196,11 @@
             else:
                 await self._record_unknown(server, begin_s, cause)
         finally:
-            self._services.fleet_view.ledger.remove(flight, self._clock.now_s())
+            self._services.fleet_view.ledger.remove(in_flight, self._clock.now_s())
         return False
 
     async def _exchange(
-        self, placement: Placement, flight: Flight, attempt: WaitingAttempt
+        self, placement: Placement, in_flight: InFlightAttempt, attempt: WaitingAttempt
     ) -> bool:
         task = self._task
         helpers = tuple(Helper(server) for server in placement.helpers)
@@ -218,10 +218,12 @@
             ):
                 until_begun.close()
                 attempt.cancel_reason = ""  # The response began before the wait was cancelled.
-                self._services.fleet_view.note_load(placement.server.life_id, answer.facts.load)
+                self._services.fleet_view.note_load(
+                    placement.server.incarnation_id, answer.facts.load
+                )
                 if answer.status >= 300:
                     return await self._forward_failure(placement, answer)
-                await self._forward_stream(placement, flight, answer)
+                await self._forward_stream(placement, in_flight, answer)
                 return True
 
     def _move_if_faster(self, attempt: WaitingAttempt, pace: float) -> None:
@@ -281,7 +283,9 @@
         self._record_answered(placement, answer.status)
         return True
 
-    async def _forward_stream(self, placement: Placement, flight: Flight, answer: Answer) -> None:
+    async def _forward_stream(
+        self, placement: Placement, in_flight: InFlightAttempt, answer: Answer
+    ) -> None:
         """Forward a stream event by event, so that a broken stream can be resumed.
 
         Bytes of an incomplete event are buffered: if the engine dies within the event, the next
@@ -293,25 +297,25 @@
         if not self._reply.has_begun:
             headers = self._services.dialect.response_headers(answer.headers)
             await self._reply.begin(answer.status, headers)
-        slow_event_s = slow_event_time_s(self._figures)
+        slow_event_s = slow_event_time_s(self._profile)
         waiting_since_s = self._clock.now_s()
         while (chunk := await answer.chunk(self._silence_timeout_s())) is not None:
             # Measured only while waiting for the engine: the time spent on writing to the caller
             # says nothing about the engine.
             waited_s = self._clock.now_s() - waiting_since_s
-            if not flight.is_reading:
+            if not in_flight.is_in_prefill:
                 self._services.fleet_view.note_event(
                     placement.server, waited_s, slow_event_s, self._request_id
                 )
             for event in splitter.feed(chunk):
                 now_s = self._clock.now_s()
-                self._services.fleet_view.ledger.first_event(flight, now_s)
+                self._services.fleet_view.ledger.first_event(in_flight, now_s)
                 await self._forward_event(event, now_s)
             waiting_since_s = self._clock.now_s()
         if splitter.rest:
             await self._reply.send(splitter.rest)
         await self._reply.end()
-        self._services.fleet_view.note_success(placement.server.life_id)
+        self._services.fleet_view.note_success(placement.server.incarnation_id)
         self._record_answered(placement, answer.status)
 
     async def _forward_event(self, event: StreamEvent, now_s: float) -> None:
@@ -352,6 +356,7 @@
 ) -> tuple[Helper, ...]:
     """Return the helpers, those with reserved memory first: memory is filled in this order."""
     named = [
-        helper._replace(reservation_id=reserved.get(helper.server.life_id)) for helper in helpers
+        helper._replace(reservation_id=reserved.get(helper.server.incarnation_id))
+        for helper in helpers
     ]
     return tuple(sorted(named, key=lambda helper: helper.reservation_id is None))
--- a/packages/proxy/src/sassafrastally/proxy/suspicion.py
+++ b/packages/proxy/src/sassafrastally/proxy/suspicion.py
@@ -32,45 +32,45 @@
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
 
-    def is_suspect(self, life_id: str, now_s: float) -> bool:
+    def is_suspect(self, incarnation_id: str, now_s: float) -> bool:
         """Return whether the server is ejected."""
-        record = self._records.get(life_id)
+        record = self._records.get(incarnation_id)
         return record is not None and now_s < record.until_s
 
     def suspects(self, now_s: float) -> dict[str, float]:
         """Return the ejected servers with the remaining time in seconds."""
         return {
-            life_id: record.until_s - now_s
-            for life_id, record in self._records.items()
+            incarnation_id: record.until_s - now_s
+            for incarnation_id, record in self._records.items()
             if now_s < record.until_s
         }
 
-    def succeeded(self, life_id: str) -> None:
+    def succeeded(self, incarnation_id: str) -> None:
         """Note a successful answer, which clears the failures."""
-        self._records.pop(life_id, None)
+        self._records.pop(incarnation_id, None)
 
-    def failed(self, life_id: str, now_s: float, *, is_clear: bool) -> float:
+    def failed(self, incarnation_id: str, now_s: float, *, is_clear: bool) -> float:
         """Note a failure; return how long the server is ejected, 0 if it isn't.
 
         Parameters
         ----------
-        life_id
+        incarnation_id
             The backend server.
         now_s
             Present time.
         is_clear
             Whether a single failure is sufficient, as when nothing listens at its address.
         """
-        record = self._records.get(life_id, _Record())
+        record = self._records.get(incarnation_id, _Record())
         failures = record.failures + 1
         if not is_clear and failures < FAILURES_IN_A_ROW:
-            self._records[life_id] = record._replace(failures=failures)
+            self._records[incarnation_id] = record._replace(failures=failures)
             return 0.0
         for_s = min(MAX_EJECTION_S, max(FIRST_EJECTION_S, 2 * record.for_s))
-        self._records[life_id] = _Record(failures, for_s, now_s + for_s)
+        self._records[incarnation_id] = _Record(failures, for_s, now_s + for_s)
         return for_s
 
     def forget_gone(self, known: set[str]) -> None:
         """Forget servers that no longer exist."""
-        for life_id in self._records.keys() - known:
-            del self._records[life_id]
+        for incarnation_id in self._records.keys() - known:
+            del self._records[incarnation_id]
--- a/packages/proxy/src/sassafrastally/proxy/task.py
+++ b/packages/proxy/src/sassafrastally/proxy/task.py
@@ -75,4 +75,4 @@
         self.last_event_id = 0
         """ID of the last stream event forwarded to the caller."""
         self.tried: set[str] = set()
-        """Backend servers that have been tried, as `BackendServer.life_id`."""
+        """Backend servers that have been tried, as `BackendServer.incarnation_id`."""
--- a/packages/proxy/src/sassafrastally/proxy/turning_away.py
+++ b/packages/proxy/src/sassafrastally/proxy/turning_away.py
@@ -13,7 +13,7 @@
 """Range of the retry delay, as shares of the caller's time left. Callers honour up to a third, and
 a short delay leads back into the same burst."""
 
-LEAST_S = 0.02
+MIN_RETRY_DELAY_S = 0.02
 """Shortest retry delay; anything less is within the network round trip."""
 
 DEFAULT_TIME_LEFT_S = 10.0
@@ -52,4 +52,4 @@
     """
     left_s = DEFAULT_TIME_LEFT_S if time_left_s is None else time_left_s
     share = EARLIEST_SHARE + (LATEST_SHARE - EARLIEST_SHARE) * draw
-    return max(LEAST_S, left_s * share)
+    return max(MIN_RETRY_DELAY_S, left_s * share)
--- a/packages/proxy/src/sassafrastally/proxy/unseen.py
+++ b/packages/proxy/src/sassafrastally/proxy/unseen.py
@@ -30,23 +30,23 @@
     def __init__(self) -> None:
         self._counts: dict[str, _Count] = {}
 
-    def note(self, life_id: str, load: ServerLoad, known: int, now_s: float) -> None:
+    def note(self, incarnation_id: str, load: ServerLoad, known: int, now_s: float) -> None:
         """Note the load stated in an answer, given the number of known requests."""
         excess = load.running + load.waiting - known - IGNORED_EXCESS_REQUESTS
         if excess > 0:
-            self._counts[life_id] = _Count(excess, now_s)
+            self._counts[incarnation_id] = _Count(excess, now_s)
         else:
-            self._counts.pop(life_id, None)
+            self._counts.pop(incarnation_id, None)
 
     def forget_old(self, now_s: float) -> None:
         """Forget expired counts, which also removes servers that have left."""
         self._counts = {
-            life_id: count
-            for life_id, count in self._counts.items()
+            incarnation_id: count
+            for incarnation_id, count in self._counts.items()
             if now_s - count.at_s < COUNT_VALID_S
         }
 
-    def at(self, life_id: str, now_s: float) -> int:
+    def at(self, incarnation_id: str, now_s: float) -> int:
         """Return the number of unreported requests at a server."""
-        count = self._counts.get(life_id)
+        count = self._counts.get(incarnation_id)
         return count.requests if count and now_s - count.at_s < COUNT_VALID_S else 0
--- a/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
+++ b/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    life_ids
+    incarnation_ids
         Engines that prefill its prompt.
     begin_s
         Start time of the attempt.
@@ -31,14 +31,14 @@
 
     def __init__(
         self,
-        life_ids: tuple[str, ...],
+        incarnation_ids: tuple[str, ...],
         begin_s: float,
         predicted_s: float,
         cancel_scope: trio.CancelScope,
         on_slow: Callable[[WaitingAttempt, float], None],
         fingerprint: int,
     ) -> None:
-        self.life_ids = life_ids
+        self.incarnation_ids = incarnation_ids
         self.begin_s = begin_s
         self.predicted_s = predicted_s
         self.cancel_scope = cancel_scope
@@ -73,10 +73,10 @@
     def overdue_servers(self, now_s: float) -> set[str]:
         """Return the engines of attempts whose first event is overdue."""
         return {
-            life_id
+            incarnation_id
             for attempt in self._attempts
             if is_overdue(now_s - attempt.begin_s, attempt.predicted_s)
-            for life_id in attempt.life_ids
+            for incarnation_id in attempt.incarnation_ids
         }
 
     def cancel_request(self, fingerprint: int) -> None:
@@ -93,6 +93,6 @@
     def notify_slow_engines(self, paces: Mapping[str, float]) -> None:
         """Notify the attempts that wait for a part on a slow engine."""
         for attempt in list(self._attempts) if paces else ():
-            pace = slowest(paces, attempt.life_ids)
+            pace = slowest(paces, attempt.incarnation_ids)
             if pace >= SLOW_PACE:
                 attempt.on_slow(attempt, pace)
--- a/packages/proxy/tests/test_cluster_state.py
+++ b/packages/proxy/tests/test_cluster_state.py
@@ -135,7 +135,7 @@
         cluster_state.apply([put("servers/a", "[false, 2000]", 2)], 2, "store")
         (second,) = cluster_state.servers_of("s")
         assert first.server_id == second.server_id
-        assert first.life_id != second.life_id
+        assert first.incarnation_id != second.incarnation_id
         assert not cluster_state.is_current(first)
         assert cluster_state.is_current(second)
 
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -8,23 +8,23 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.budget import RetryBudget
-from sassafrastally.proxy.engine_time import pass_ms, reading_ms
+from sassafrastally.proxy.engine_time import pass_ms, prefill_ms
 from sassafrastally.proxy.event_stream import EventSplitter
 from sassafrastally.proxy.lanes import ServerView
 from sassafrastally.proxy.leaving_servers import LeavingServers, looks_leaving
 from sassafrastally.proxy.load import (
-    UNFINISHED_READING_MS,
-    Flight,
+    MIN_UNFINISHED_PREFILL_MS,
+    InFlightAttempt,
     Lane,
     Ledger,
-    Part,
+    PrefillPart,
     Work,
-    merge,
+    merge_work,
     server_hash,
 )
 from sassafrastally.proxy.model import (
     BackendServer,
-    EngineFigures,
+    EngineProfile,
     Route,
     RouteKind,
     ServerLoad,
@@ -47,7 +47,7 @@
 from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
 from sassafrastally.proxy.unseen import UnseenRequests
 
-FIGURES = EngineFigures(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
+PROFILE = EngineProfile(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
 
 
 class TestRetryBudget:
@@ -157,8 +157,8 @@
 
     def test_events_during_the_prefill_of_a_short_prompt_are_not_slow(self):
         """A full engine decodes eight requests and prefills a short prompt in some passes."""
-        busiest_s = (pass_ms(FIGURES, 8, 405_000) + reading_ms(FIGURES, 5000)) / 1000
-        assert busiest_s < slow_event_time_s(FIGURES)
+        busiest_s = (pass_ms(PROFILE, 8, 405_000) + prefill_ms(PROFILE, 5000)) / 1000
+        assert busiest_s < slow_event_time_s(PROFILE)
 
 
 class TestPace:
@@ -204,7 +204,7 @@
         """A quarter of the engines drain while the store is unavailable, so each long prompt is
         placed on one of them. A full engine rejects requests too and must not be avoided for
         seconds."""
-        idle, full = Work(short_requests=1), Work(short_requests=3, reading_requests=1)
+        idle, full = Work(short_requests=1), Work(short_requests=3, prefill_requests=1)
         assert looks_leaving(idle, 5, update_age_s=3.0)
         assert not looks_leaving(full, 5, update_age_s=3.0)
         assert not looks_leaving(idle, 5, update_age_s=0.3)
@@ -322,13 +322,15 @@
 
     def test_prefill_counts_until_the_first_event_and_memory_until_the_end(self):
         ledger = Ledger()
-        flight = Flight("a", Lane.LONG, {"a": 100, "b": 50}, (Part("a", 500.0), Part("b", 500.0)))
-        ledger.add(flight, 0.0)
+        in_flight = InFlightAttempt(
+            "a", Lane.LONG, {"a": 100, "b": 50}, (PrefillPart("a", 500.0), PrefillPart("b", 500.0))
+        )
+        ledger.add(in_flight, 0.0)
         work = ledger.work(0.1)
-        assert work["b"] == Work(reading_requests=1, tokens=50, reading_ms=400.0)
-        ledger.first_event(flight, 0.4)
-        assert ledger.work(0.4)["a"] == Work(long_requests=1, tokens=100, writing_tokens=100)
-        ledger.remove(flight, 0.5)
+        assert work["b"] == Work(prefill_requests=1, tokens=50, prefill_ms=400.0)
+        ledger.first_event(in_flight, 0.4)
+        assert ledger.work(0.4)["a"] == Work(long_requests=1, tokens=100, decoding_tokens=100)
+        ledger.remove(in_flight, 0.5)
         assert ledger.work(0.5) == {}
 
     def test_overdue_prefill_keeps_its_engines_busy(self):
@@ -336,10 +338,12 @@
         prefilled first. If its engines counted as idle, a burst of short prompts would be placed
         there and wait."""
         ledger = Ledger()
-        ledger.add(Flight("a", Lane.LONG, {"a": 100}, (Part("a", 2900.0),), due_s=3.0), 0.0)
-        assert ledger.work(2.8)["a"].reading_ms == pytest.approx(100.0)
-        assert ledger.work(3.05)["a"].reading_ms == pytest.approx(UNFINISHED_READING_MS)
-        assert ledger.work(3.6)["a"].reading_ms == pytest.approx(500.0)
+        ledger.add(
+            InFlightAttempt("a", Lane.LONG, {"a": 100}, (PrefillPart("a", 2900.0),), due_s=3.0), 0.0
+        )
+        assert ledger.work(2.8)["a"].prefill_ms == pytest.approx(100.0)
+        assert ledger.work(3.05)["a"].prefill_ms == pytest.approx(MIN_UNFINISHED_PREFILL_MS)
+        assert ledger.work(3.6)["a"].prefill_ms == pytest.approx(500.0)
 
     def test_parts_of_two_entries_on_one_engine_are_prefilled_in_sequence(self):
         """Two entries have placed a part of 0.5 s each on one engine. Guards against each entry
@@ -347,14 +351,20 @@
         prefill left, and get the next prompt."""
         first, second = Ledger(), Ledger()
         for ledger, other in ((first, second), (second, first)):
-            ledger.others = lambda other=other: [{server_hash("a"): Work(reading_ms=left(other))}]
-            ledger.add(Flight("a", Lane.LONG, {}, (Part("a", 500.0),), due_s=1.0), 0.0)
+            ledger.others = lambda other=other: [{server_hash("a"): Work(prefill_ms=left(other))}]
+            ledger.add(
+                InFlightAttempt("a", Lane.LONG, {}, (PrefillPart("a", 500.0),), due_s=1.0), 0.0
+            )
 
         def left(ledger: Ledger) -> float:
-            return sum(part_ms for flight in ledger._flights for part_ms in flight.left_ms.values())
+            return sum(
+                part_ms
+                for in_flight in ledger._attempts
+                for part_ms in in_flight.remaining_ms.values()
+            )
 
         for tenth in range(1, 7):
-            backlogs_ms = [ledger.work(tenth / 10)["a"].reading_ms for ledger in (first, second)]
+            backlogs_ms = [ledger.work(tenth / 10)["a"].prefill_ms for ledger in (first, second)]
         assert sum(backlogs_ms) == pytest.approx(400.0, rel=0.1)
 
     def test_one_late_part_does_not_mark_all_engines_of_a_prompt_as_busy(self):
@@ -363,9 +373,9 @@
         gave a backlog of 550 s instead of 30 s, and callers were rejected while 25 of 78 engines
         were idle."""
         ledger = Ledger()
-        parts = tuple(Part(f"e{number}", 300.0) for number in range(17))
-        ledger.add(Flight("e0", Lane.LONG, {}, parts, due_s=0.4), 0.0)
-        backlog_ms = sum(work.reading_ms for work in ledger.work(2.4).values())
+        parts = tuple(PrefillPart(f"e{number}", 300.0) for number in range(17))
+        ledger.add(InFlightAttempt("e0", Lane.LONG, {}, parts, due_s=0.4), 0.0)
+        backlog_ms = sum(work.prefill_ms for work in ledger.work(2.4).values())
         assert backlog_ms == pytest.approx(1900.0)
 
     def test_lost_answers_of_one_engine_do_not_add_up(self):
@@ -374,14 +384,14 @@
         with that on all engines, one caller in fourteen was rejected."""
         ledger = Ledger()
         for number in range(3):
-            part = Part("a", 30.0)
-            ledger.add(Flight("a", Lane.SHORT, {}, (part,), due_s=0.1 + number / 100), 0.0)
-        assert ledger.work(1.2)["a"].reading_ms <= 1000.0
+            part = PrefillPart("a", 30.0)
+            ledger.add(InFlightAttempt("a", Lane.SHORT, {}, (part,), due_s=0.1 + number / 100), 0.0)
+        assert ledger.work(1.2)["a"].prefill_ms <= 1000.0
 
     def test_work_of_peers_is_added(self):
         own = {"a": Work(short_requests=1)}
         peers = [{server_hash("a"): Work(short_requests=2)}, {server_hash("b"): Work(tokens=7)}]
-        view = merge(own, peers)
+        view = merge_work(own, peers)
         assert view.at("a").short_requests == 3
         assert view.at("b").tokens == 7
         assert view.at("c") == Work()
--- a/packages/proxy/tests/test_placement_replay.py
+++ b/packages/proxy/tests/test_placement_replay.py
@@ -7,15 +7,15 @@
 from typing import NamedTuple
 
 from sassafrastally.proxy.lanes import Scatter, ServerView, split_lanes
-from sassafrastally.proxy.load import Flight, Lane, Ledger, Work, merge
+from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work, merge_work
 from sassafrastally.proxy.model import (
     PromptSize,
 )
 from sassafrastally.proxy.placement import place_prompt
 from sassafrastally.testing.placement_cases import (
     ALONE,
-    FIGURES,
     LIMITS,
+    PROFILE,
     SHORT,
     server,
     views,
@@ -56,28 +56,28 @@
     def replay(self) -> dict[Lane, Outcome]:
         """Place all requests, using only predictions, and count the timely first events."""
         ledger = Ledger()
-        ends: list[tuple[float, str, Flight]] = []
+        ends: list[tuple[float, str, InFlightAttempt]] = []
         counts = {Lane.SHORT: [0, 0], Lane.LONG: [0, 0]}
         for now_s, lane, prompt in self.arrivals():
             for moment in [end for end in ends if end[0] <= now_s]:
-                _, what, flight = moment
-                (ledger.first_event if what == "first" else ledger.remove)(flight, moment[0])
+                _, what, in_flight = moment
+                (ledger.first_event if what == "first" else ledger.remove)(in_flight, moment[0])
                 ends.remove(moment)
-            work = merge(ledger.work(now_s), [])
+            work = merge_work(ledger.work(now_s), [])
             order = [ServerView(server(n), work.at(f"e{n}")) for n in range(23)]
             goal_s = 0.3 if lane is Lane.SHORT else 3.0
             placement = place_prompt(
-                split_lanes(order, FIGURES), lane, prompt, goal_s, FIGURES, LIMITS, ALONE
+                split_lanes(order, PROFILE), lane, prompt, goal_s, PROFILE, LIMITS, ALONE
             )
             counts[lane][0] += 1
             if placement is None:
                 continue
             counts[lane][1] += placement.predicted_s <= goal_s
             memory = {holding.server.server_id: holding.tokens for holding in placement.holdings}
-            flight = Flight(placement.server.server_id, lane, memory, placement.parts)
-            ledger.add(flight, now_s)
+            in_flight = InFlightAttempt(placement.server.server_id, lane, memory, placement.parts)
+            ledger.add(in_flight, now_s)
             first_s = now_s + placement.predicted_s
-            ends += [(first_s, "first", flight), (first_s + 1.8, "end", flight)]
+            ends += [(first_s, "first", in_flight), (first_s + 1.8, "end", in_flight)]
         return {lane: Outcome(*count) for lane, count in counts.items()}
 
     def test_both_kinds_are_served_in_time_while_the_load_changes(self):
@@ -106,7 +106,7 @@
             Report age that the entries assume.
         """
         draw = random.Random(7)
-        figures = FIGURES._replace(slots=self.SLOTS)
+        profile = PROFILE._replace(slots=self.SLOTS)
         scatters = [Scatter(random.Random(n), update_age_s) for n in range(self.ENTRIES)]
         placed: list[tuple[float, float, int, str]] = []
         overfilled_count = asked = 0
@@ -120,9 +120,9 @@
                 row[3] for row in placed if row[2] == entry or row[0] < now_s - self.REPORT_DELAY_S
             )
             works = [Work(short_requests=reported[f"e{n}"]) for n in range(self.ENGINES)]
-            lanes = split_lanes(views(works), figures, scatters[entry])
+            lanes = split_lanes(views(works), profile, scatters[entry])
             placement = place_prompt(
-                lanes, Lane.SHORT, SHORT, 0.3, figures, LIMITS, scatters[entry]
+                lanes, Lane.SHORT, SHORT, 0.3, profile, LIMITS, scatters[entry]
             )
             if placement is None:
                 continue
--- a/packages/proxy/tests/test_pools.py
+++ b/packages/proxy/tests/test_pools.py
@@ -9,25 +9,25 @@
 from sassafrastally.core import Address
 from sassafrastally.proxy.lanes import Scatter, ServerView, split_lanes, split_lanes_by_centre
 from sassafrastally.proxy.load import Lane, Work
-from sassafrastally.proxy.model import BackendServer, EngineFigures, PromptSize
+from sassafrastally.proxy.model import BackendServer, EngineProfile, PromptSize
 from sassafrastally.proxy.placement import place_request
 from sassafrastally.proxy.pools import MIN_POOL_ENGINES, divide, stays_near
-from sassafrastally.proxy.reading_limits import ReadingLimits
+from sassafrastally.proxy.prefill_limits import PrefillLimits
 
-FIGURES = EngineFigures(
+PROFILE = EngineProfile(
     slots=5,
     memory_tokens=405_000,
     step_ms=1.31,
     per_request_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_million=0.162,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_million_pairs=0.162,
     chunk_tokens=2048,
-    stride_steps=53,
-    hop_ms=0.1,
+    steps_per_pass=53,
+    distributed_step_overhead_ms=0.1,
 )
 
-LIMITS = ReadingLimits(300.0, 69.0, 62.0, (210.0, 315.0), (600.0, 1080.0), 4.0)
+LIMITS = PrefillLimits(300.0, 69.0, 62.0, (210.0, 315.0), (600.0, 1080.0), 4.0)
 
 SHORT = PromptSize(5000, 1300)
 GOAL_S = 0.42
@@ -78,10 +78,10 @@
             ServerView(server(n), Work(short_requests=4 if n % CENTRES == 0 else 0))
             for n in range(195)
         ]
-        lanes = split_lanes_by_centre(views, FIGURES)
+        lanes = split_lanes_by_centre(views, PROFILE)
         for centre in range(CENTRES):
             near = [view for view in views if view.server.data_centre == f"dc-{centre}"]
-            seen_there = split_lanes(near, FIGURES)
+            seen_there = split_lanes(near, PROFILE)
             assert set(seen_there.short) == {view for view in lanes.short if view in near}
             assert set(seen_there.long) == {view for view in lanes.long if view in near}
 
@@ -116,14 +116,14 @@
             plan = None
             for choice in (near, views) if is_near_first else (views,):
                 plan = place_request(
-                    choice, Lane.SHORT, SHORT, GOAL_S, FIGURES, LIMITS, scatter, by_centre=True
+                    choice, Lane.SHORT, SHORT, GOAL_S, PROFILE, LIMITS, scatter, by_centre=True
                 )
                 if stays_near(plan, GOAL_S):
                     break
             asked += 1
             if plan is None:
                 continue
-            late += running[plan.server.server_id] >= FIGURES.slots
+            late += running[plan.server.server_id] >= PROFILE.slots
             far += plan.server.data_centre != centre
             length_s = draw.uniform(0.9, 2.7)
             placed.append((now_s, now_s + length_s, entry, plan.server.server_id))
--- a/packages/proxy/tests/test_rate_shares.py
+++ b/packages/proxy/tests/test_rate_shares.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sassafrastally.proxy.rate_shares import (
-    LEAST_PER_S,
+    MIN_LIMIT_PER_S,
     RetrySchedule,
     SentRequests,
     own_share_per_s,
@@ -31,10 +31,12 @@
 class GreedyEntries:
     """Entries that always have more requests for one server than their share of its limit."""
 
-    def __init__(self, hosts: list[str], most_per_s: float, life_id: str = "engine-1") -> None:
+    def __init__(
+        self, hosts: list[str], most_per_s: float, incarnation_id: str = "engine-1"
+    ) -> None:
         self.hosts = hosts
         self.most_per_s = most_per_s
-        self.life_id = life_id
+        self.incarnation_id = incarnation_id
         self.known = {host: set(hosts) - {host} for host in hosts}
         """Other entries that each entry knows as possible senders."""
         self.sent = {host: SentRequests() for host in hosts}
@@ -43,7 +45,7 @@
     def run(self, begin_s: float, end_s: float) -> None:
         """Let all entries send whenever their share has room."""
         shares = {
-            host: own_share_per_s(self.life_id, self.most_per_s, host, self.known[host])
+            host: own_share_per_s(self.incarnation_id, self.most_per_s, host, self.known[host])
             for host in self.hosts
         }
         for step in range(int((end_s - begin_s) / STEP_S)):
@@ -68,7 +70,7 @@
         greedy = GreedyEntries(hosts_of(entries), most_per_s)
         greedy.run(0.0, 30.0)
         assert most_in_window(greedy.sent_s, 0.0) <= allowed(most_per_s)
-        accepted_per_s = max(LEAST_PER_S, most_per_s)
+        accepted_per_s = max(MIN_LIMIT_PER_S, most_per_s)
         assert len(greedy.sent_s) >= 0.85 * accepted_per_s * 30.0
 
     def test_requests_before_the_limit_was_known_count(self):
--- a/packages/proxy/tests/test_sharing.py
+++ b/packages/proxy/tests/test_sharing.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from sassafrastally.proxy.load import Flight, Lane, Ledger, Work
+from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.peer_table import RELAY_DELAY_S, PeerTable
 from sassafrastally.proxy.sharing import (
@@ -233,17 +233,17 @@
     def test_start_of_a_long_prefill_is_urgent(self):
         """Two entries of different data centres place a long prompt within 0.1 s of each other.
         Each uses 17 engines that it considers idle; on engines used by both, one prompt waits."""
-        reading = {7: Work(long_requests=1, reading_requests=1, reading_ms=900.0)}
-        assert is_urgent_for_sums({}, reading)
-        assert not is_urgent_for_sums(reading, reading)
-        assert not is_urgent_for_sums({}, {7: Work(short_requests=1, reading_ms=30.0)})
+        prefill = {7: Work(long_requests=1, prefill_requests=1, prefill_ms=900.0)}
+        assert is_urgent_for_sums({}, prefill)
+        assert not is_urgent_for_sums(prefill, prefill)
+        assert not is_urgent_for_sums({}, {7: Work(short_requests=1, prefill_ms=30.0)})
 
     async def test_peers_are_notified_of_a_long_prompt_at_once(self):
         ledger = Ledger()
         seen = ledger.urgent_count
-        ledger.add(Flight("a", Lane.SHORT), 0.0)
+        ledger.add(InFlightAttempt("a", Lane.SHORT), 0.0)
         assert ledger.urgent_count == seen
-        ledger.add(Flight("a", Lane.LONG), 0.0)
+        ledger.add(InFlightAttempt("a", Lane.LONG), 0.0)
         with trio.fail_after(1.0):
             await ledger.urgent_since(seen)
 
--- a/packages/testing/src/sassafrastally/testing/load_arrivals.py
+++ b/packages/testing/src/sassafrastally/testing/load_arrivals.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 # These at run time too: they are fields of named tuples.
-from sassafrastally.proxy.model import EngineFigures, PromptSize
+from sassafrastally.proxy.model import EngineProfile, PromptSize
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -37,7 +37,7 @@
 class Deployment(NamedTuple):
     """Engines, entries and the usual load."""
 
-    figures: EngineFigures
+    profile: EngineProfile
     engines: int
     entries: int
     kinds: tuple[Kind, ...]
@@ -93,12 +93,12 @@
                 and (not burst.kinds or kind.name in burst.kinds)
             )
             if draw.random() < factor / highest:
-                found.append(_arrival(kind, now_s, deployment.figures, draw))
+                found.append(_arrival(kind, now_s, deployment.profile, draw))
     return sorted(found, key=lambda arrival: arrival.at_s)
 
 
-def _arrival(kind: Kind, at_s: float, figures: EngineFigures, draw: random.Random) -> Arrival:
+def _arrival(kind: Kind, at_s: float, profile: EngineProfile, draw: random.Random) -> Arrival:
     centre = math.log(kind.prompt_tokens) - kind.prompt_spread**2 / 2
     tokens = int(min(kind.most_tokens, draw.lognormvariate(centre, kind.prompt_spread)))
     events = max(1, round(kind.events * draw.uniform(0.5, 1.5)))
-    return Arrival(at_s, kind, PromptSize(tokens, events * figures.stride_steps), events)
+    return Arrival(at_s, kind, PromptSize(tokens, events * profile.steps_per_pass), events)
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -17,11 +17,11 @@
 from sassafrastally.core import Address
 from sassafrastally.proxy.admission import Goals, overload_reason
 from sassafrastally.proxy.lanes import Scatter, ServerView, lane_of
-from sassafrastally.proxy.load import Flight, Lane, Ledger, Work, merge, server_hash
+from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work, merge_work, server_hash
 from sassafrastally.proxy.model import BackendServer, Route, RouteKind
 from sassafrastally.proxy.placement import place_request
+from sassafrastally.proxy.prefill_limits import prefill_limits_for
 from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
-from sassafrastally.proxy.reading_limits import reading_limits
 from sassafrastally.proxy.streaming_request import (
     CALLER_TIMEOUT_GOALS,
     CALLER_TIMEOUT_PAUSES,
@@ -121,14 +121,16 @@
         self._deployment = deployment
         self._most_per_s = {f"e{number}": most for number, most in (limits_per_s or {}).items()}
         self._spares_limited = spares_limited
-        self.sent_s: dict[str, list[float]] = {life_id: [] for life_id in self._most_per_s}
+        self.sent_s: dict[str, list[float]] = {
+            incarnation_id: [] for incarnation_id in self._most_per_s
+        }
         """When requests were sent to each engine with a limit."""
-        self._figures = deployment.figures
+        self._profile = deployment.profile
         self._draw = random.Random(seed)
         self._entries = [_Entry(seed * 1000 + number) for number in range(deployment.entries)]
         for entry in self._entries:
             entry.ledger.others = partial(self._told_to, entry)
-        self._engines = [PassingEngine(deployment.figures) for _ in range(deployment.engines)]
+        self._engines = [PassingEngine(deployment.profile) for _ in range(deployment.engines)]
         self._servers = sorted(
             (
                 BackendServer(
@@ -136,10 +138,10 @@
                 )
                 for number in range(deployment.engines)
             ),
-            key=lambda server: server_hash(server.life_id),
+            key=lambda server: server_hash(server.incarnation_id),
         )
         self._routes = {kind.name: _route(kind) for kind in deployment.kinds}
-        self._limits = reading_limits(self._routes.values(), deployment.figures)
+        self._limits = prefill_limits_for(self._routes.values(), deployment.profile)
         self.outcomes: list[Outcome] = []
 
     async def run(self, arrivals: Sequence[Arrival]) -> list[Outcome]:
@@ -165,7 +167,7 @@
         while True:
             seen = entry.ledger.urgent_count
             work = entry.ledger.work(trio.current_time())
-            told = {server_hash(life_id): of_one for life_id, of_one in work.items()}
+            told = {server_hash(incarnation_id): of_one for incarnation_id, of_one in work.items()}
             await trio.sleep(DATAGRAM_LATENCY_S)
             entry.told = told
             with trio.move_on_after(gap_s - DATAGRAM_LATENCY_S):
@@ -195,40 +197,42 @@
             self.lane(arrival),
             arrival.prompt,
             arrival.kind.goal_s,
-            self._figures,
+            self._profile,
             self._limits,
             Scatter(entry.random, self._deployment.news_gap_s + DATAGRAM_LATENCY_S),
         )
 
     def views(self, entry: _Entry, tried: set[str]) -> list[ServerView]:
         """Return the engines as an entry sees them."""
-        work = merge(entry.ledger.work(trio.current_time()), self._told_to(entry))
+        work = merge_work(entry.ledger.work(trio.current_time()), self._told_to(entry))
         return [
             ServerView(
                 server,
-                work.at(server.life_id),
-                is_limited=self._spares_limited and server.life_id in self._most_per_s,
+                work.at(server.incarnation_id),
+                is_limited=self._spares_limited and server.incarnation_id in self._most_per_s,
             )
             for server in self._servers
-            if server.life_id not in tried and self._has_room(entry, server.life_id)
+            if server.incarnation_id not in tried and self._has_room(entry, server.incarnation_id)
         ]
 
     def note_sent(self, entry: _Entry, placement: Placement) -> None:
         """Count what an entry sends to engines with a limit."""
         servers = [placement.server, *placement.helpers]
         now_s = trio.current_time()
-        for life_id in (server.life_id for server in servers):
-            if life_id in self._most_per_s:
-                entry.sent.setdefault(life_id, SentRequests()).note(now_s)
-                self.sent_s[life_id].append(now_s - self._begin_s)
+        for incarnation_id in (server.incarnation_id for server in servers):
+            if incarnation_id in self._most_per_s:
+                entry.sent.setdefault(incarnation_id, SentRequests()).note(now_s)
+                self.sent_s[incarnation_id].append(now_s - self._begin_s)
 
-    def _has_room(self, entry: _Entry, life_id: str) -> bool:
-        if life_id not in self._most_per_s:
+    def _has_room(self, entry: _Entry, incarnation_id: str) -> bool:
+        if incarnation_id not in self._most_per_s:
             return True
         names = {one: f"entry-{number}" for number, one in enumerate(self._entries)}
         own = names.pop(entry)
-        share_per_s = own_share_per_s(life_id, self._most_per_s[life_id], own, list(names.values()))
-        sent = entry.sent.setdefault(life_id, SentRequests())
+        share_per_s = own_share_per_s(
+            incarnation_id, self._most_per_s[incarnation_id], own, list(names.values())
+        )
+        sent = entry.sent.setdefault(incarnation_id, SentRequests())
         return sent.room_in_s(share_per_s, trio.current_time()) <= 0
 
     def goals(self, arrival: Arrival) -> Goals:
@@ -238,11 +242,11 @@
     def lane(self, arrival: Arrival) -> Lane:
         """Return the lane of a request."""
         route = self._routes[arrival.kind.name]
-        return lane_of(route, arrival.prompt, self._figures, self._limits)
+        return lane_of(route, arrival.prompt, self._profile, self._limits)
 
-    def engine(self, life_id: str) -> PassingEngine:
-        """Return an engine by its server's life."""
-        return self._engines[int(life_id[1:])]
+    def engine(self, incarnation_id: str) -> PassingEngine:
+        """Return an engine by its server's incarnation."""
+        return self._engines[int(incarnation_id[1:])]
 
 
 class _Asked:
@@ -271,7 +275,7 @@
                     self.come_back_after_s = come_back_after_s(left_s, self._entry.random.random())
                 break
             predicted_s = placement.predicted_s
-            tried.add(placement.server.life_id)
+            tried.add(placement.server.incarnation_id)
             if await self._try(placement, is_last=attempt == MOST_ATTEMPTS - 1):
                 return self._outcome(predicted_s, is_whole=True)
             if self._first_s is not None:
@@ -295,15 +299,15 @@
     async def _try(self, placement: Placement, *, is_last: bool) -> bool:
         """Make one attempt; return whether the answer is whole."""
         now_s = trio.current_time()
-        memory = {holding.server.life_id: holding.tokens for holding in placement.holdings}
-        flight = Flight(
-            placement.server.life_id,
+        memory = {holding.server.incarnation_id: holding.tokens for holding in placement.holdings}
+        in_flight = InFlightAttempt(
+            placement.server.incarnation_id,
             placement.lane,
             memory,
             placement.parts,
             now_s + placement.predicted_s,
         )
-        self._entry.ledger.add(flight, now_s)
+        self._entry.ledger.add(in_flight, now_s)
         self._replay.note_sent(self._entry, placement)
         patience_s = self._patience_s()
         limit_s = patience_s
@@ -315,30 +319,34 @@
             limit_s = max(SILENCE_TIMEOUT_SHARE * patience_s, expected_s)
         try:
             with trio.move_on_after(limit_s) as silence:
-                return await self._run(placement, flight, silence, patience_s)
+                return await self._run(placement, in_flight, silence, patience_s)
             return False
         except Full:
             return False
         finally:
-            self._entry.ledger.remove(flight, trio.current_time())
+            self._entry.ledger.remove(in_flight, trio.current_time())
 
     async def _run(
-        self, placement: Placement, flight: Flight, silence: trio.CancelScope, patience_s: float
+        self,
+        placement: Placement,
+        in_flight: InFlightAttempt,
+        silence: trio.CancelScope,
+        patience_s: float,
     ) -> bool:
-        engine = self._replay.engine(placement.server.life_id)
-        helpers = [self._replay.engine(helper.life_id) for helper in placement.helpers]
+        engine = self._replay.engine(placement.server.incarnation_id)
+        helpers = [self._replay.engine(helper.incarnation_id) for helper in placement.helpers]
         elsewhere = sum(holding.tokens for holding in placement.holdings[1:])
         tokens = self._arrival.prompt.prompt_tokens
         run = engine.run(tokens, self._arrival.events, helpers, elsewhere)
         async with aclosing(run) as events:
             async for _ in events:
-                self._note_event(flight)
+                self._note_event(in_flight)
                 silence.deadline = trio.current_time() + patience_s
         return True
 
-    def _note_event(self, flight: Flight) -> None:
+    def _note_event(self, in_flight: InFlightAttempt) -> None:
         now_s = trio.current_time()
-        self._entry.ledger.first_event(flight, now_s)
+        self._entry.ledger.first_event(in_flight, now_s)
         if self._first_s is None:
             self._first_s = now_s - (self._replay._begin_s + self._arrival.at_s)
         else:
--- a/packages/testing/src/sassafrastally/testing/placement_cases.py
+++ b/packages/testing/src/sassafrastally/testing/placement_cases.py
@@ -9,34 +9,34 @@
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.model import (
     BackendServer,
-    EngineFigures,
+    EngineProfile,
     PromptSize,
     Route,
     RouteKind,
     ServiceShare,
 )
-from sassafrastally.proxy.reading_limits import ReadingLimits
+from sassafrastally.proxy.prefill_limits import PrefillLimits
 
-FIGURES = EngineFigures(
+PROFILE = EngineProfile(
     slots=8,
     memory_tokens=405_000,
     step_ms=1.31,
     per_request_ms=0.0018,
     context_ms_per_k=0.00213,
-    read_tokens_per_ms=154.0,
-    pairs_ms_per_million=0.162,
+    prefill_tokens_per_ms=154.0,
+    attention_ms_per_million_pairs=0.162,
     chunk_tokens=2048,
-    stride_steps=34,
-    hop_ms=0.1,
+    steps_per_pass=34,
+    distributed_step_overhead_ms=0.1,
 )
 
 ALONE = Scatter(random.Random(1))
 """An entry that sees all requests."""
 
-LIMITS = ReadingLimits(
+LIMITS = PrefillLimits(
     strict_pause_ms=250.0,
-    short_part_ms=60.0,
-    least_part_ms=40.0,
+    max_short_part_ms=60.0,
+    min_long_part_ms=40.0,
     short_pauses_ms=(170.0, 260.0),
     long_pauses_ms=(450.0, 900.0),
     longest_goal_s=3.0,
--- a/packages/testing/src/sassafrastally/testing/soak/fleet.py
+++ b/packages/testing/src/sassafrastally/testing/soak/fleet.py
@@ -199,11 +199,11 @@
 
     def _make_replica(self, service: str) -> Replica:
         self._lives += 1
-        figures = None
+        profile = None
         if service == "engines":
             document = json.dumps(make_configuration(1)).encode()
-            figures = PlatformDialect().decode_configuration(document).services[service].engine
-        replica = Replica(f"{service}-{self._lives}", service, self._by_address, figures, 0.03)
+            profile = PlatformDialect().decode_configuration(document).services[service].engine
+        replica = Replica(f"{service}-{self._lives}", service, self._by_address, profile, 0.03)
         self.all_replicas.append(replica)
         return replica
 
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -12,7 +12,7 @@
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.daemon import make_kernel
 from sassafrastally.proxy.fleet_view import FleetView
-from sassafrastally.proxy.load import Flight, Lane
+from sassafrastally.proxy.load import InFlightAttempt, Lane
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peer_messages import encode_delta
 from sassafrastally.proxy.peers import Peers
@@ -234,7 +234,10 @@
         previous = cluster_state.server("engine-1")
         for _ in range(4):
             fleet_view.note_failure(previous, "nobody answers", "r", is_clear=True)
-        fleet_view.ledger.add(Flight(previous.life_id, Lane.SHORT, {previous.life_id: 9_000}), 0.0)
+        fleet_view.ledger.add(
+            InFlightAttempt(previous.incarnation_id, Lane.SHORT, {previous.incarnation_id: 9_000}),
+            0.0,
+        )
         self.restart(small_fleet, "engine-1")
         await until(lambda: cluster_state.server("engine-1") != previous)
         views = {view.server.server_id: view for view in fleet_view.views("engines", set())}
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -10,7 +10,7 @@
 
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.cluster_state import ClusterState
-from sassafrastally.proxy.model import ServerAsks
+from sassafrastally.proxy.model import BackpressureSignals
 from sassafrastally.stand_ins.documents import make_configuration, make_route
 from sassafrastally.stand_ins.platform_fleet import RESTART_S, until
 from sassafrastally.testing.harmful_fleet import (
@@ -222,7 +222,7 @@
 
         async def leave(replica) -> None:
             server = cluster_state.server(replica.server_id)
-            backpressure.note_answer(server, ServerAsks(is_leaving=True))
+            backpressure.note_answer(server, BackpressureSignals(is_leaving=True))
             replica.crash()
 
         await self.send_while(fleet, leave)
--- a/packages/testing/tests/platform/test_load_replay.py
+++ b/packages/testing/tests/platform/test_load_replay.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from sassafrastally.proxy.model import EngineFigures
+from sassafrastally.proxy.model import EngineProfile
 from sassafrastally.testing.backpressure_fleet import allowed, most_in_window
 from sassafrastally.testing.load_arrivals import Burst, Deployment, Kind, make_arrivals
 from sassafrastally.testing.load_replay import LoadReplay, Outcome, share_of_value
 
-FIGURES = EngineFigures(
+PROFILE = EngineProfile(
     slots=6,
     memory_tokens=382_500,
     step_ms=0.925,
     per_request_ms=0.00483,
     context_ms_per_k=0.00254,
-    read_tokens_per_ms=256.0,
-    pairs_ms_per_million=0.0917,
+    prefill_tokens_per_ms=256.0,
+    attention_ms_per_million_pairs=0.0917,
     chunk_tokens=2048,
-    stride_steps=52,
-    hop_ms=0.1,
+    steps_per_pass=52,
+    distributed_step_overhead_ms=0.1,
 )
 
 QUESTION = Kind("question", 49.9, 4960, 0.9, 23_800, 33, 0.321, 0.2, 10.0, 1.4, 0.34)
@@ -25,7 +25,7 @@
 DOSSIER = Kind("dossier", 1.35, 300_000, 0.55, 1_000_000, 16.5, 4.055, 0.8, 15.0, 30.0, 7.5)
 
 FLEET = Deployment(
-    FIGURES, engines=78, entries=22, kinds=(QUESTION, QUOTE, DOSSIER), news_gap_s=0.088
+    PROFILE, engines=78, entries=22, kinds=(QUESTION, QUOTE, DOSSIER), news_gap_s=0.088
 )
 
 DURATION_S = 12.0
@@ -62,7 +62,7 @@
 
 
 SONDRIO_LIKE = Deployment(
-    FIGURES._replace(slots=8, read_tokens_per_ms=154.0, pairs_ms_per_million=0.162),
+    PROFILE._replace(slots=8, prefill_tokens_per_ms=154.0, attention_ms_per_million_pairs=0.162),
     engines=14,
     entries=5,
     kinds=(
--- a/packages/testing/tests/platform/test_passing_engine.py
+++ b/packages/testing/tests/platform/test_passing_engine.py
@@ -15,10 +15,10 @@
     """Return an engine with the performance parameters of the sample configuration."""
     document = json.dumps(make_configuration(1)).encode()
     services = PlatformDialect().decode_configuration(document).services
-    figures = services["engines"].engine
-    assert figures is not None
-    assert figures.slots == ENGINE["slots"]
-    return PassingEngine(figures)
+    profile = services["engines"].engine
+    assert profile is not None
+    assert profile.slots == ENGINE["slots"]
+    return PassingEngine(profile)
 
 
 class TestPrefillParts:
