--- a/packages/proxy/benchmarks/decisions.py
+++ b/packages/proxy/benchmarks/decisions.py
@@ -15,7 +15,8 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.lanes import Scatter, ServerView
+from sassafrastally.proxy.data_centre_pools import divide_by_data_centre
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView
 from sassafrastally.proxy.load import Lane, Work, merge_work, server_hash
 from sassafrastally.proxy.model import (
     BackendServer,
@@ -27,7 +28,6 @@
 )
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.pools import divide
 from sassafrastally.proxy.prefill_limits import prefill_limits_for
 
 if TYPE_CHECKING:
@@ -80,7 +80,7 @@
         if entry % 6 == 0:
             works[server_hash(used[0].incarnation_id)] = Work(0, 1, 1, 0, 260_000, 400.0)
         loads.append(works)
-    pools = divide(servers)
+    pools = divide_by_data_centre(servers)
     return Fleet(servers, loads, pools.get("dc-0", servers))
 
 
@@ -118,7 +118,7 @@
         for pause_s in PAUSES_S
     ]
     limits = prefill_limits_for(routes, PROFILE)
-    scatter = Scatter(draw, 0.07)
+    randomizer = PlacementRandomizer(draw, 0.07)
     is_divided = fleet.near is not fleet.servers
     for name, (lane, prompt) in PROMPTS.items():
         servers = fleet.near if lane is Lane.SHORT else fleet.servers
@@ -132,7 +132,7 @@
         ) -> object:
             seen = views(servers, fleet.loads)
             return place_request(
-                seen, lane, prompt, goal_s, PROFILE, limits, scatter, by_centre=is_divided
+                seen, lane, prompt, goal_s, PROFILE, limits, randomizer, by_centre=is_divided
             )
 
         print(f"{name:16} {median_ms(decide):7.3f} ms")
--- a/packages/proxy/benchmarks/quarantine.py
+++ b/packages/proxy/benchmarks/quarantine.py
@@ -22,8 +22,8 @@
     for number in range(4000):
         fingerprint = draw.getrandbits(64)
         for _ in range(1 + number % 3):
-            quarantine.note_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
-        quarantine.note_answered(draw.getrandbits(64), 0.01 * number)
+            quarantine.record_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
+        quarantine.record_answered(draw.getrandbits(64), 0.01 * number)
     return quarantine
 
 
@@ -38,7 +38,7 @@
         print(f"fingerprint of {name:6} {taken_us:9.1f} us")
     calm = Quarantine()
     print(f"calm: verdict {median_us(lambda: calm.verdict(7, 1.0), 20_000):.2f} us, ", end="")
-    print(f"answer {median_us(lambda: calm.note_answered(7, 1.0), 20_000):.2f} us, ", end="")
+    print(f"answer {median_us(lambda: calm.record_answered(7, 1.0), 20_000):.2f} us, ", end="")
     print(f"news {median_us(lambda: calm.news(1.0, is_full=False), 20_000):.2f} us")
     tracemalloc.start()
     quarantine = quarantine_at_limits()
--- a/packages/proxy/benchmarks/rate_shares.py
+++ b/packages/proxy/benchmarks/rate_shares.py
@@ -11,7 +11,7 @@
 
 from sassafrastally.proxy.limit_exchange import LimitReport
 from sassafrastally.proxy.peer_messages import MAX_LIMITS_SENT, Hello, encode_hello
-from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
+from sassafrastally.proxy.rate_limit_sharing import SentRequests, own_share_per_s
 from sassafrastally.testing.backpressure_fleet import allowed, most_in_window
 from sassafrastally.testing.timing import median_us
 
@@ -63,8 +63,8 @@
     for step in range(int(LENGTH_S / STEP_S)):
         now_s = step * STEP_S
         for host in hosts:
-            while sent[host].room_in_s(shares[host], now_s) <= 0:
-                sent[host].note(now_s)
+            while sent[host].wait_s(shares[host], now_s) <= 0:
+                sent[host].record(now_s)
                 sent_s.append(now_s)
     return most_in_window(sent_s, 0.0)
 
@@ -84,8 +84,8 @@
         host = draw.choice(hosts)
         offered += 1
         for server in draw.sample(range(SERVERS), SERVERS):
-            if sent[host, server].room_in_s(shares[host, server], now_s) <= 0:
-                sent[host, server].note(now_s)
+            if sent[host, server].wait_s(shares[host, server], now_s) <= 0:
+                sent[host, server].record(now_s)
                 served += 1
                 break
     return served / offered
@@ -103,8 +103,8 @@
     hosts = set(hosts_of(340))
     share_us = median_us(lambda: own_share_per_s("e", MOST_PER_S, "10.9.9.9", hosts), 200)
     sent = SentRequests()
-    sent.note(0.0)
-    room_us = median_us(lambda: sent.room_in_s(0.25, 1.0), 20_000)
+    sent.record(0.0)
+    room_us = median_us(lambda: sent.wait_s(0.25, 1.0), 20_000)
     print(f"share among 340 entries {share_us:.0f} us once, room of a server {room_us:.2f} us")
     limits = {n << 40: LimitReport(1.5, 0.25) for n in range(MAX_LIMITS_SENT)}
     hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, {}, (), {}, {}, 0.0, 0.0, "here", 10)
--- a/packages/proxy/src/sassafrastally/proxy/address_registration.py
+++ b/packages/proxy/src/sassafrastally/proxy/address_registration.py
@@ -62,7 +62,7 @@
         self._snapshot_read = trio.Event()
         self._lease_id = 0
 
-    def note_entries(self, entries: Iterable[KvEntry | KvEvent]) -> None:
+    def record_entries(self, entries: Iterable[KvEntry | KvEvent]) -> None:
         """Add the addresses found in store entries to the peer table."""
         now_s = self._kernel.clock.now_s()
         for entry in entries:
@@ -70,13 +70,13 @@
                 host = entry.key.removeprefix(self._prefix)
                 self._table.add_address(host, entry.value.decode(errors="replace"), now_s)
 
-    def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
+    def record_snapshot(self, entries: Sequence[KvEntry]) -> None:
         """Read the addresses from a full snapshot, this entry's own included.
 
         A process that restarts within a minute finds its earlier address and renews that lease.
         This takes one call that costs as much as a read, instead of a new lease and a write.
         """
-        self.note_entries(entries)
+        self.record_entries(entries)
         for entry in entries:
             if entry.key == self._key and not self._snapshot_read.is_set():
                 self._lease_id = entry.lease_id
@@ -100,7 +100,7 @@
             except (LeaseLost, KvConflict):
                 self._lease_id, pause_s = 0, 0.1
             except (KvUnavailable, MaybeApplied) as cause:
-                self._note_store_lost(cause)
+                self._record_store_lost(cause)
                 pause_s = min(ADDRESS_LEASE_S / 6, 2 * pause_s)
             await trio.sleep(pause_s * self._kernel.random.uniform(0.7, 1.0))
 
@@ -111,7 +111,7 @@
         await self._store.write([KvWrite(self._key, value, any_revision, lease_id)])
         return lease_id
 
-    def _note_store_lost(self, cause: Exception) -> None:
+    def _record_store_lost(self, cause: Exception) -> None:
         age_s = self._kernel.clock.now_s() - self._cluster_state.confirmed_s
         self._kernel.events.emit(
             StoreLost(
--- a/packages/proxy/src/sassafrastally/proxy/attempt.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt.py
@@ -16,6 +16,7 @@
     from collections.abc import AsyncIterator, Callable
 
     from sassafrastally.core import Address
+    from sassafrastally.proxy.connection_pool import ConnectionPool
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.http_stream import HttpStream
     from sassafrastally.proxy.model import (
@@ -25,7 +26,6 @@
         RequestMetadata,
         ResponseMetadata,
     )
-    from sassafrastally.proxy.pool import ConnectionPool
 
 TIMEOUT_DETAIL = "no data arrived before the timeout"
 
@@ -177,12 +177,12 @@
             is_kept = _is_reusable(connection)
         finally:
             if is_kept:
-                await self._pool.put_back(terms.server, connection)
+                await self._pool.release(terms.server, connection)
             else:
                 await connection.close()
 
     async def _connection(self, server: BackendServer, may_reuse: bool) -> HttpStream:
-        if may_reuse and (kept := await self._pool.take(server)):
+        if may_reuse and (kept := await self._pool.acquire(server)):
             return kept
         try:
             return await self._pool.open(server)
--- a/packages/proxy/src/sassafrastally/proxy/moving.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt_migration.py
@@ -40,7 +40,7 @@
     return max(0.0, slow_from_now_s, slow_from_start_s)
 
 
-def is_worth_moving(left_s: float, predicted_elsewhere_s: float, goal_left_s: float) -> bool:
+def should_move_attempt(left_s: float, predicted_elsewhere_s: float, goal_left_s: float) -> bool:
     """Return whether a prompt that waits for its first event should be moved to other engines.
 
     Parameters
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -19,7 +19,7 @@
 )
 from sassafrastally.proxy.metrics import SERVER_CALLS
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.rate_shares import (
+from sassafrastally.proxy.rate_limit_sharing import (
     MIN_LIMIT_PER_S,
     RetrySchedule,
     SentRequests,
@@ -91,26 +91,26 @@
     def count_request(self, server: BackendServer, kind: CallKind) -> None:
         """Count a request that is about to be sent."""
         SERVER_CALLS.add(1, {"kind": kind.value})
-        self._sent_to(server.incarnation_id).note(self._now_s)
+        self._sent_to(server.incarnation_id).record(self._now_s)
 
     def count_part(self, server: BackendServer) -> None:
         """Count a part of a prompt that a limited server prefills for another one."""
         if self.limit_of(server.incarnation_id) is not None:
-            self._sent_to(server.incarnation_id).note(self._now_s)
+            self._sent_to(server.incarnation_id).record(self._now_s)
 
-    def note_answer(self, server: BackendServer, signals: BackpressureSignals) -> None:
+    def record_answer(self, server: BackendServer, signals: BackpressureSignals) -> None:
         """Note the backpressure signals in a server's answer."""
         key = server_hash(server.incarnation_id)
-        change = self._limits.note_answer_limit(key, signals.most_per_s, self._now_s)
+        change = self._limits.record_answer_limit(key, signals.most_per_s, self._now_s)
         self._note_change(key, change, OWN_SOURCE)
         if signals.is_leaving:
-            self._note_leaving(server)
+            self._record_leaving(server)
         if signals.cool_down_s is not None:
-            self._note_cool_down(server, signals.cool_down_s)
+            self._record_cool_down(server, signals.cool_down_s)
 
     def leaving(self) -> dict[str, float]:
         """Return the servers that recently announced leaving, with the remaining seconds."""
-        return self._leaving.told(self._now_s)
+        return self._leaving.to_announce(self._now_s)
 
     def is_leaving(self, server: BackendServer) -> bool:
         """Return whether a server has announced that it is leaving."""
@@ -120,7 +120,7 @@
         """Return the requests per second that a server accepts; ``None`` without a limit."""
         return self._limits.of(server_hash(incarnation_id)) if self._limits else None
 
-    def rooms_s(self, servers: Iterable[BackendServer]) -> dict[str, float]:
+    def waits_s(self, servers: Iterable[BackendServer]) -> dict[str, float]:
         """Return the time until each server accepts a request; servers that do now are left out.
 
         The time is infinite for servers that are leaving and for those whose limit is shared by
@@ -137,9 +137,9 @@
 
     def is_open(self, server: BackendServer) -> bool:
         """Return whether a server accepts a request of this entry now."""
-        return not self.rooms_s([server])
+        return not self.waits_s([server])
 
-    def come_back_s(
+    def available_in_s(
         self, service: str, servers: Sequence[BackendServer], time_left_s: float | None
     ) -> float | None:
         """Return the retry delay for a caller that no server accepts; ``None`` if it is unknown.
@@ -153,7 +153,7 @@
         time_left_s
             How long the caller waits for its answer; ``None`` without a limit.
         """
-        waits_s = self.rooms_s(servers)
+        waits_s = self.waits_s(servers)
         if len(waits_s) < len(servers):
             return None
         staying = [server for server in servers if server.incarnation_id not in self._leaving]
@@ -176,7 +176,7 @@
     def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
         """Record the limits that a peer has reported."""
         for key, limit in news.items():
-            change = self._limits.note_peer_limit(key, limit, self._now_s)
+            change = self._limits.record_peer_limit(key, limit, self._now_s)
             self._note_change(key, change, host)
 
     def forget_gone(self, known: Collection[str]) -> None:
@@ -236,16 +236,16 @@
             self._shares[incarnation_id] = own_share_per_s(
                 incarnation_id, most_per_s, self._own_host, self._shared_among
             )
-        wait_s = self._sent_to(incarnation_id).room_in_s(self._shares[incarnation_id], self._now_s)
+        wait_s = self._sent_to(incarnation_id).wait_s(self._shares[incarnation_id], self._now_s)
         return max(cool_down_s, wait_s)
 
-    def _note_leaving(self, server: BackendServer) -> None:
-        if self._leaving.note(server.incarnation_id, self._now_s):
+    def _record_leaving(self, server: BackendServer) -> None:
+        if self._leaving.record(server.incarnation_id, self._now_s):
             self.kernel.events.emit(ServerLeaving(server.server_id))
             self._peers.send_now()
 
-    def _note_cool_down(self, server: BackendServer, for_s: float) -> None:
-        if self._cool_downs.note(server.incarnation_id, for_s, self._now_s):
+    def _record_cool_down(self, server: BackendServer, for_s: float) -> None:
+        if self._cool_downs.record(server.incarnation_id, for_s, self._now_s):
             self.kernel.events.emit(ServerCoolingDown(server.server_id, for_s))
 
     def _sent_to(self, incarnation_id: str) -> SentRequests:
--- a/packages/proxy/src/sassafrastally/proxy/cluster_state.py
+++ b/packages/proxy/src/sassafrastally/proxy/cluster_state.py
@@ -11,6 +11,7 @@
 import trio
 
 from sassafrastally.core import KvEntry, KvEvent, Service
+from sassafrastally.proxy.data_centre_pools import divide_by_data_centre
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import (
@@ -21,7 +22,6 @@
     ServerKnown,
     ServerLapsed,
 )
-from sassafrastally.proxy.pools import divide
 from sassafrastally.proxy.routes import RouteTable
 
 if TYPE_CHECKING:
@@ -272,7 +272,7 @@
         self._servers[server.server_id] = server
         self._index = None
         if known is not None and known.incarnation_id != server.incarnation_id:
-            self._note_incarnation_ended(known)
+            self._record_incarnation_ended(known)
         self.kernel.events.emit(
             ServerKnown(
                 server.server_id,
@@ -319,10 +319,10 @@
     def _drop(self, server: BackendServer, source: str) -> None:
         del self._servers[server.server_id]
         self._index = None
-        self._note_incarnation_ended(server)
+        self._record_incarnation_ended(server)
         self.kernel.events.emit(ServerGone(server.server_id, server.service, source))
 
-    def _note_incarnation_ended(self, server: BackendServer) -> None:
+    def _record_incarnation_ended(self, server: BackendServer) -> None:
         if self.on_incarnation_ended is not None:
             self.on_incarnation_ended(server)
 
@@ -348,6 +348,8 @@
             ):
                 if not server.is_draining:
                     by_service.setdefault(server.service, []).append(server)
-            pools = {service: divide(servers) for service, servers in by_service.items()}
+            pools = {
+                service: divide_by_data_centre(servers) for service, servers in by_service.items()
+            }
             self._index = _Index(by_service, pools)
         return self._index
--- a/packages/proxy/src/sassafrastally/proxy/pool.py
+++ b/packages/proxy/src/sassafrastally/proxy/connection_pool.py
@@ -39,7 +39,7 @@
         """Return a new connection; raises `ConnectionLost`."""
         return HttpStream(await connect(server.address, CONNECT_TIME_S), h11.CLIENT)
 
-    async def take(self, server: BackendServer) -> HttpStream | None:
+    async def acquire(self, server: BackendServer) -> HttpStream | None:
         """Return an idle connection that still looks usable, or ``None``."""
         kept = self._idle.get(server.incarnation_id, [])
         while kept:
@@ -52,7 +52,7 @@
             await idle.connection.close()
         return None
 
-    async def put_back(self, server: BackendServer, connection: HttpStream) -> None:
+    async def release(self, server: BackendServer, connection: HttpStream) -> None:
         """Return a connection to the pool after a complete response, or close it if unusable."""
         kept = self._idle.setdefault(server.incarnation_id, [])
         if len(kept) >= MAX_IDLE_PER_SERVER or connection.has_unread_input():
@@ -68,8 +68,8 @@
     async def close_idle(self) -> None:
         """Close the connections that have been idle for too long.
 
-        A server that has left gets no more requests, so `take` never closes its connections. Over
-        days of server replacements they would exhaust the process's file descriptors.
+        A server that has left gets no more requests, so `acquire` never closes its connections.
+        Over days of server replacements they would exhaust the process's file descriptors.
         """
         oldest_s = trio.current_time() - IDLE_TIME_S
         for incarnation_id, kept in list(self._idle.items()):
--- a/packages/proxy/src/sassafrastally/proxy/cool_downs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cool_downs.py
@@ -16,7 +16,7 @@
     def __len__(self) -> int:
         return len(self._until_s)
 
-    def note(self, incarnation_id: str, for_s: float, now_s: float) -> bool:
+    def record(self, incarnation_id: str, for_s: float, now_s: float) -> bool:
         """Note a requested cool-down and return whether it ends later than the known one."""
         until_s = now_s + for_s
         if until_s <= self._until_s.get(incarnation_id, now_s):
--- a/packages/proxy/src/sassafrastally/proxy/crash_detector.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_detector.py
@@ -70,10 +70,12 @@
         self._quarantine = quarantine
         self._backpressure = kernel.get("backpressure", Backpressure)
         self._cluster_state = kernel.get("beliefs", ClusterState)
-        self._cluster_state.on_incarnation_ended = self._note_incarnation_ended
+        self._cluster_state.on_incarnation_ended = self._record_incarnation_ended
         self._unanswered: dict[str, deque[_Unanswered]] = {}
 
-    async def note_broken_off(self, server: BackendServer, task: RequestTask, cause: str) -> None:
+    async def record_broken_answer(
+        self, server: BackendServer, task: RequestTask, cause: str
+    ) -> None:
         """Record that an answer broke off; return once the server is probed or a timeout passes.
 
         Parameters
@@ -89,11 +91,11 @@
         self._nursery.start_soon(self._find, server, task, cause, is_known)
         with trio.move_on_after(PROBE_WAIT_S):
             await is_known.wait()
-        if self._quarantine.crashes_under(task.fingerprint):
+        if self._quarantine.crash_count(task.fingerprint):
             # Waits until the entries have exchanged which of their requests ran on that server.
             await trio.sleep(self._quarantine.update_age_s)
 
-    def note_unanswered(self, server: BackendServer, task: RequestTask) -> None:
+    def record_missing_answer(self, server: BackendServer, task: RequestTask) -> None:
         """Record that an answer is missing or incomplete and that the server may have ended.
 
         A slow server and a cut link look the same, and a supervisor may hold the port of an ended
@@ -115,15 +117,15 @@
         try:
             finding = await self._liveness.find(server)
             if finding.is_refused and not self._was_leaving(server):
-                self._note_crash(server, task.fingerprint, task.request.facts.request_id, cause)
+                self._record_crash(server, task.fingerprint, task.request.facts.request_id, cause)
                 return
             if finding.is_dropped and not self._was_leaving(server):
                 self._presume_crash(server, task, cause)
-            self.note_unanswered(server, task)
+            self.record_missing_answer(server, task)
         finally:
             is_known.set()
 
-    def _note_incarnation_ended(self, server: BackendServer) -> None:
+    def _record_incarnation_ended(self, server: BackendServer) -> None:
         requests = self._unanswered.pop(server.incarnation_id, ())
         if server.is_draining or self._backpressure.is_leaving(server):
             return
@@ -132,7 +134,7 @@
             if now_s - one.at_s < LEASE_EXPIRY_WINDOW_S:
                 cause = "no complete answer, and the server's incarnation ended afterwards"
                 age_s = now_s - one.at_s
-                self._note_crash(server, one.fingerprint, one.request_id, cause, age_s=age_s)
+                self._record_crash(server, one.fingerprint, one.request_id, cause, age_s=age_s)
 
     def _was_leaving(self, server: BackendServer) -> bool:
         """Return whether a server was leaving or draining; its end is planned then."""
@@ -145,7 +147,7 @@
             and known.is_draining
         )
 
-    def _note_crash(
+    def _record_crash(
         self,
         server: BackendServer,
         fingerprint: int,
@@ -157,10 +159,10 @@
         SERVER_CRASHES.add(1)
         text = fingerprint_text(fingerprint)
         self._kernel.events.emit(ServerCrashed(server.server_id, request_id, text, cause))
-        self._quarantine.note_crash(fingerprint, server, age_s=age_s)
+        self._quarantine.record_crash(fingerprint, server, age_s=age_s)
 
     def _presume_crash(self, server: BackendServer, task: RequestTask, cause: str) -> None:
         text = fingerprint_text(task.fingerprint)
         request_id = task.request.facts.request_id
         self._kernel.events.emit(ServerCrashPresumed(server.server_id, request_id, text, cause))
-        self._quarantine.note_crash(task.fingerprint, server, is_presumed=True)
+        self._quarantine.record_crash(task.fingerprint, server, is_presumed=True)
--- a/packages/proxy/src/sassafrastally/proxy/crash_records.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_records.py
@@ -130,7 +130,7 @@
         )
         return _count_separate(times_s) if self.was_answered(fingerprint) else len(times_s)
 
-    def note_crash(self, fingerprint: int, server: int, crash: Crash) -> bool:
+    def record_crash(self, fingerprint: int, server: int, crash: Crash) -> bool:
         """Record that a server crashed while it ran a request; return whether this is new.
 
         A crash reported by several entries counts once. Confirming a presumed crash counts as new.
@@ -140,13 +140,13 @@
             return False
         earlier_s = known[server].at_s if server in known else crash.at_s
         known[server] = crash._replace(at_s=min(earlier_s, crash.at_s))
-        self._note_news(crash.received_s)
+        self._record_change(crash.received_s)
         own_answered_s = self._own_answered_s.get(fingerprint, NEVER_S)
         if crash.received_s - own_answered_s < CRASH_KEPT_S:
             self.apply_answer(fingerprint, own_answered_s, crash.received_s)
         return True
 
-    def note_own_answer(self, fingerprint: int, now_s: float) -> None:
+    def record_own_answer(self, fingerprint: int, now_s: float) -> None:
         """Record an answer to a request of this entry, with or without earlier crashes."""
         self._own_answered_s.pop(fingerprint, None)
         self._own_answered_s[fingerprint] = now_s
@@ -160,7 +160,7 @@
         self._answered_s[fingerprint] = at_s
         if len(self._answered_s) > MAX_CASES:
             del self._answered_s[next(iter(self._answered_s))]
-        self._note_news(received_s)
+        self._record_change(received_s)
         return True
 
     def evict_excess(self, is_protected: Callable[[int], bool]) -> None:
@@ -231,7 +231,7 @@
         crashes = self._crashes.get(fingerprint, {}).values()
         return max([answered_s, *(crash.received_s for crash in crashes)])
 
-    def _note_news(self, received_s: float) -> None:
+    def _record_change(self, received_s: float) -> None:
         self.version += 1
         self._latest_news_s = max(self._latest_news_s, received_s)
 
--- a/packages/proxy/src/sassafrastally/proxy/daemon.py
+++ b/packages/proxy/src/sassafrastally/proxy/daemon.py
@@ -10,18 +10,18 @@
 from sassafrastally.core import Clock, Kernel
 from sassafrastally.proxy.attempt import AttemptSender
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.budget import RetryBudget
 from sassafrastally.proxy.caller_listener import CallerListener
 from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.connection_pool import ConnectionPool
 from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.internal_endpoints import InternalEndpoints
 from sassafrastally.proxy.load import Ledger
 from sassafrastally.proxy.log_events import SettingsRejected, SettingsReloaded
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.pool import ConnectionPool
 from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reports import EngineReports
+from sassafrastally.proxy.retry_budget import RetryBudget
 from sassafrastally.proxy.watch import StoreWatch
 
 if TYPE_CHECKING:
--- a/packages/proxy/src/sassafrastally/proxy/pools.py
+++ b/packages/proxy/src/sassafrastally/proxy/data_centre_pools.py
@@ -26,7 +26,7 @@
 of its engines would fall below it in the middle of a burst."""
 
 
-def divide(servers: Iterable[BackendServer]) -> dict[str, list[BackendServer]]:
+def divide_by_data_centre(servers: Iterable[BackendServer]) -> dict[str, list[BackendServer]]:
     """Return a service's engines by data centre, in order; empty if any centre has too few."""
     pools: dict[str, list[BackendServer]] = {}
     for server in servers:
@@ -36,7 +36,7 @@
     return pools
 
 
-def stays_near(plan: Placement | None, goal_s: float) -> bool:
+def fits_in_local_data_centre(plan: Placement | None, goal_s: float) -> bool:
     """Return whether a prompt is placed in its own data centre without considering all engines.
 
     Parameters
--- a/packages/proxy/src/sassafrastally/proxy/fleet_view.py
+++ b/packages/proxy/src/sassafrastally/proxy/fleet_view.py
@@ -10,7 +10,7 @@
 from sassafrastally.proxy.backpressure import Backpressure
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.lanes import ServerView
-from sassafrastally.proxy.leaving_servers import LEAVING_S, LeavingServers, looks_leaving
+from sassafrastally.proxy.leaving_servers import LEAVING_S, LeavingServers, is_probably_leaving
 from sassafrastally.proxy.liveness import Liveness
 from sassafrastally.proxy.load import (
     NO_WORK,
@@ -23,11 +23,11 @@
 )
 from sassafrastally.proxy.log_events import ServerSuspected
 from sassafrastally.proxy.metrics import SUSPICIONS
-from sassafrastally.proxy.pace import SLOW_PACE, USUAL_PACE, Paces
+from sassafrastally.proxy.outlier_ejection import OutlierEjection
+from sassafrastally.proxy.pace import SLOW_PACE, USUAL_PACE, PaceReports
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.slowness import LEFT_ALONE_S, Slowness
-from sassafrastally.proxy.suspicion import Suspicion
-from sassafrastally.proxy.unseen import UnseenRequests
+from sassafrastally.proxy.slow_event_detection import SLOW_EJECTION_S, SlowEventDetector
+from sassafrastally.proxy.unreported_requests import UnreportedRequests
 from sassafrastally.proxy.waiting_attempts import WaitingAttempts
 
 if TYPE_CHECKING:
@@ -47,12 +47,12 @@
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
-        self.suspicion = Suspicion()
+        self.outlier_ejection = OutlierEjection()
         self.waiting_attempts = WaitingAttempts()
-        self._unseen = UnseenRequests()
-        self._slowness = Slowness()
+        self._unreported = UnreportedRequests()
+        self._slow_events = SlowEventDetector()
         self._leaving = LeavingServers()
-        self._paces = Paces()
+        self._paces = PaceReports()
         self._probing: set[str] = set()
         self.request_report: Callable[[BackendServer, str], None] | None = None
         """Requests an engine's report on behalf of a request; records a failure if none arrives."""
@@ -123,11 +123,11 @@
         work = self.work()
         to_avoid = self._servers_to_avoid(now_s)
         paces = self.paces()
-        without_room = self._backpressure.rooms_s(servers)
+        without_room = self._backpressure.waits_s(servers)
         views = [
             ServerView(
                 server,
-                self._work_with_unseen(incarnation_id, work, now_s),
+                self._work_with_unreported(incarnation_id, work, now_s),
                 incarnation_id in to_avoid or server_hash(incarnation_id) in to_avoid,
                 paces.get(incarnation_id, USUAL_PACE),
                 self._backpressure.limit_of(incarnation_id) is not None,
@@ -139,13 +139,13 @@
         trusted = [view for view in views if not view.is_suspect]
         return trusted or views
 
-    def come_back_s(self, service: str, time_left_s: float | None) -> float | None:
+    def available_in_s(self, service: str, time_left_s: float | None) -> float | None:
         """Return after how long a caller should retry when no server accepts a request now.
 
         ``None`` if some server accepts one, or if the time is unknown.
         """
         servers = self._cluster_state.servers_of(service)
-        return self._backpressure.come_back_s(service, servers, time_left_s)
+        return self._backpressure.available_in_s(service, servers, time_left_s)
 
     def _servers_to_avoid(self, now_s: float) -> set[str | int]:
         """Return the servers to avoid: own suspects by id, those of peers by the id's hash."""
@@ -155,9 +155,9 @@
     def _own_servers_to_avoid(self, now_s: float) -> dict[str, float]:
         """Return the servers that this process avoids, with the remaining seconds."""
         return {
-            **self._slowness.slow_servers(now_s),
-            **self.suspicion.suspects(now_s),
-            **self._leaving.left_alone(now_s, self._cluster_state.confirmed_s),
+            **self._slow_events.slow_servers(now_s),
+            **self.outlier_ejection.suspects(now_s),
+            **self._leaving.to_avoid(now_s, self._cluster_state.confirmed_s),
             **self._backpressure.leaving(),
         }
 
@@ -171,9 +171,9 @@
         }
         return {**reported, **self._paces.slow(self.kernel.clock.now_s())}
 
-    def note_pace(self, server: BackendServer, pace: float) -> None:
+    def record_pace(self, server: BackendServer, pace: float) -> None:
         """Record the pace that an engine reports."""
-        self._paces.note(server.incarnation_id, pace, self.kernel.clock.now_s())
+        self._paces.record(server.incarnation_id, pace, self.kernel.clock.now_s())
         if pace >= SLOW_PACE:
             self.ledger.note_change()  # Sends the next datagram early.
 
@@ -181,28 +181,32 @@
         slow = self._paces.slow(self.kernel.clock.now_s())
         return {server_hash(incarnation_id): pace for incarnation_id, pace in slow.items()}
 
-    def _work_with_unseen(self, incarnation_id: str, work: WorkView, now_s: float) -> Work:
+    def _work_with_unreported(self, incarnation_id: str, work: WorkView, now_s: float) -> Work:
         known = work.at(incarnation_id)
-        unseen = self._unseen.at(incarnation_id, now_s)
-        return known._replace(short_requests=known.short_requests + unseen) if unseen else known
+        unreported = self._unreported.count(incarnation_id, now_s)
+        return (
+            known._replace(short_requests=known.short_requests + unreported)
+            if unreported
+            else known
+        )
 
     def forget_gone(self) -> None:
         """Discard the state of servers that no longer exist."""
         known = {server.incarnation_id for server in self._cluster_state.servers()}
-        self.suspicion.forget_gone(known)
-        self._slowness.forget_gone(known)
+        self.outlier_ejection.forget_gone(known)
+        self._slow_events.forget_gone(known)
         self._paces.forget_gone(known)
         self._backpressure.forget_gone(known)
-        self._unseen.forget_old(self.kernel.clock.now_s())
+        self._unreported.forget_old(self.kernel.clock.now_s())
 
-    def note_load(self, incarnation_id: str, load: ServerLoad | None) -> None:
+    def record_load(self, incarnation_id: str, load: ServerLoad | None) -> None:
         """Record the load that a server reported with an answer."""
         if load is not None:
             now_s = self.kernel.clock.now_s()
             known = self._work_at(incarnation_id, now_s).requests
-            self._unseen.note(incarnation_id, load, known, now_s)
+            self._unreported.record(incarnation_id, load, known, now_s)
 
-    def note_event(
+    def record_event(
         self, server: BackendServer, waited_s: float, limit_s: float, request_id: str
     ) -> None:
         """Record how long an event of a stream took to arrive.
@@ -219,18 +223,20 @@
             The request that it belongs to.
         """
         if waited_s <= limit_s:
-            self._slowness.note_usual(server.incarnation_id)
+            self._slow_events.record_usual(server.incarnation_id)
             return
         now_s = self.kernel.clock.now_s()
         if self._work_at(server.incarnation_id, now_s).prefill_requests:
             return  # Prefill explains the delay.
         servers = len(self._cluster_state.servers_of(server.service))
-        if not self._slowness.note_slow(server.incarnation_id, servers, now_s):
+        if not self._slow_events.record_slow(server.incarnation_id, servers, now_s):
             return
         SUSPICIONS.add(1)
         self.ledger.note_change()  # Sends the next datagram early.
         reason = f"slow: events take more than {limit_s:.2f} s; the last took {waited_s:.2f} s"
-        self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEFT_ALONE_S, request_id))
+        self.kernel.events.emit(
+            ServerSuspected(server.server_id, reason, SLOW_EJECTION_S, request_id)
+        )
 
     def _work_at(self, incarnation_id: str, now_s: float) -> Work:
         """Return the work at one server, without the cost of merging the work of all servers."""
@@ -238,12 +244,12 @@
         own = self.ledger.work(now_s).get(incarnation_id, NO_WORK)
         return sum_work([own, *(loads.get(key, NO_WORK) for loads in self._peers.loads())])
 
-    def note_success(self, incarnation_id: str) -> None:
+    def record_success(self, incarnation_id: str) -> None:
         """Record a successful answer."""
-        self.suspicion.succeeded(incarnation_id)
+        self.outlier_ejection.record_success(incarnation_id)
 
-    def note_failure(
-        self, server: BackendServer, reason: str, request_id: str, *, is_clear: bool = False
+    def record_failure(
+        self, server: BackendServer, reason: str, request_id: str, *, is_conclusive: bool = False
     ) -> None:
         """Record a failed answer.
 
@@ -255,12 +261,14 @@
             Description of the failure, for the log.
         request_id
             The request that failed.
-        is_clear
+        is_conclusive
             Whether the server is known not to respond. Otherwise a connection is probed, to
             distinguish a server that has died from one that broke off one answer.
         """
         now_s = self.kernel.clock.now_s()
-        for_s = self.suspicion.failed(server.incarnation_id, now_s, is_clear=is_clear)
+        for_s = self.outlier_ejection.record_failure(
+            server.incarnation_id, now_s, is_conclusive=is_conclusive
+        )
         if for_s:
             SUSPICIONS.add(1)
             self.ledger.note_change()  # Sends the next datagram early.
@@ -269,8 +277,8 @@
             self._probing.add(server.incarnation_id)
             self._nursery.start_soon(self._probe, server, request_id)
 
-    def note_refusal(
-        self, server: BackendServer, reason: str, request_id: str, *, is_clear: bool = False
+    def record_refusal(
+        self, server: BackendServer, reason: str, request_id: str, *, is_conclusive: bool = False
     ) -> None:
         """Record that a server refused a request, or is named as the cause of a refusal.
 
@@ -278,21 +286,21 @@
         ----------
         server
             Server that refused, or is named.
-        reason, request_id, is_clear
-            As for `note_failure`.
+        reason, request_id, is_conclusive
+            As for `record_failure`.
         """
         now_s = self.kernel.clock.now_s()
         work = self._work_at(server.incarnation_id, now_s)
-        if not looks_leaving(work, server.slots, self.beliefs_age_s):
-            self.note_failure(server, reason, request_id, is_clear=is_clear)
+        if not is_probably_leaving(work, server.slots, self.beliefs_age_s):
+            self.record_failure(server, reason, request_id, is_conclusive=is_conclusive)
             return
         SUSPICIONS.add(1)
-        self._leaving.note(server.incarnation_id, now_s)
+        self._leaving.record(server.incarnation_id, now_s)
         self.ledger.note_change(is_urgent=True)
         reason = f"{reason}; its known load doesn't explain this, so it may be leaving"
         self.kernel.events.emit(ServerSuspected(server.server_id, reason, LEAVING_S, request_id))
 
-    def note_silence(self, server: BackendServer, request_id: str) -> None:
+    def record_timeout(self, server: BackendServer, request_id: str) -> None:
         """Record that a server sent nothing within the time limit.
 
         An overloaded engine is as silent as a dead one. Avoiding it would take capacity from a
@@ -300,7 +308,7 @@
         decides.
         """
         if self.request_report is None or not self._has_engine(server.service):
-            self.note_failure(server, "no response within the time limit", request_id)
+            self.record_failure(server, "no response within the time limit", request_id)
         else:
             self.request_report(server, request_id)
 
@@ -315,7 +323,7 @@
         finally:
             self._probing.discard(server.incarnation_id)
         if not finding.is_listening:
-            self.note_failure(server, f"probe: {finding.detail}", request_id, is_clear=True)
+            self.record_failure(server, f"probe: {finding.detail}", request_id, is_conclusive=True)
 
     def _own_suspects(self) -> dict[int, float]:
         left = self._own_servers_to_avoid(self.kernel.clock.now_s())
--- a/packages/proxy/src/sassafrastally/proxy/internal_endpoints.py
+++ b/packages/proxy/src/sassafrastally/proxy/internal_endpoints.py
@@ -91,7 +91,7 @@
             "store_age_seconds": now_s - self._cluster_state.store_answered_s,
             "backend_servers": self._cluster_state.server_count(),
             "quarantined_requests": self._quarantine.count,
-            "suspected_servers": len(self._fleet_view.suspicion.suspects(now_s)),
+            "suspected_servers": len(self._fleet_view.outlier_ejection.suspects(now_s)),
             "peers": self._fleet_view.entries - 1,
             "open_requests": self._caller_listener.open_requests,
             "attempts_in_progress": len(self._fleet_view.ledger),
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -55,7 +55,7 @@
     short: tuple[ServerView, ...]
 
 
-class Scatter(NamedTuple):
+class PlacementRandomizer(NamedTuple):
     """Randomization against herding of entries that don't know each other's latest placements.
 
     Many entries place requests faster than they learn of each other's placements. If each took the
@@ -68,12 +68,12 @@
     update_age_s: float = 0.0
     """Age of the latest load report of other entries."""
 
-    def unseen_requests(self, short_requests: int) -> float:
+    def unreported_requests(self, short_requests: int) -> float:
         """Return the estimated short requests that others have started since their last reports."""
         return short_requests * self.update_age_s / SHORT_REQUEST_DURATION_S
 
 
-def lane_of(
+def choose_lane(
     route: Route, prompt: PromptSize, profile: EngineProfile, limits: PrefillLimits
 ) -> Lane:
     """Return the lane of a request."""
@@ -84,7 +84,9 @@
 
 
 def split_lanes_by_centre(
-    views: Sequence[ServerView], profile: EngineProfile, scatter: Scatter | None = None
+    views: Sequence[ServerView],
+    profile: EngineProfile,
+    randomizer: PlacementRandomizer | None = None,
 ) -> Lanes:
     """Split the engines of each data centre separately, as its own entries do.
 
@@ -96,7 +98,7 @@
     centres: dict[str, list[ServerView]] = {}
     for view in views:
         centres.setdefault(view.server.data_centre, []).append(view)
-    split = [split_lanes(centre_views, profile, scatter) for centre_views in centres.values()]
+    split = [split_lanes(centre_views, profile, randomizer) for centre_views in centres.values()]
     return Lanes(
         tuple(view for lanes in split for view in lanes.long),
         tuple(view for lanes in split for view in lanes.short),
@@ -104,7 +106,9 @@
 
 
 def split_lanes(
-    views: Sequence[ServerView], profile: EngineProfile, scatter: Scatter | None = None
+    views: Sequence[ServerView],
+    profile: EngineProfile,
+    randomizer: PlacementRandomizer | None = None,
 ) -> Lanes:
     """Split the engines into lanes by the number of short requests in progress.
 
@@ -118,15 +122,15 @@
         Engines that can take work, in the order that all entries use.
     profile
         Performance profile of the engines.
-    scatter
+    randomizer
         Estimates the requests that other entries have placed since their latest reports.
     """
     count = len(views)
     if count < 2:
         return Lanes(tuple(views), tuple(views))
     short_requests: float = sum(view.work.short_requests for view in views)
-    if scatter is not None:
-        short_requests += scatter.unseen_requests(int(short_requests))
+    if randomizer is not None:
+        short_requests += randomizer.unreported_requests(int(short_requests))
     needed_engines = math.ceil(short_requests / (SHORT_FILL * profile.slots)) + 1
     min_long = max(1, math.ceil(LONG_LANE_SHARE * count))
     short = max(1, min(needed_engines, count - min_long))
--- a/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
@@ -34,7 +34,7 @@
 requests aren't known here yet."""
 
 
-def looks_leaving(work: Work, slots: int, update_age_s: float) -> bool:
+def is_probably_leaving(work: Work, slots: int, update_age_s: float) -> bool:
     """Return whether a refusal most likely means that the server is leaving.
 
     Parameters
@@ -56,11 +56,11 @@
     def __init__(self) -> None:
         self._since_s: dict[str, float] = {}
 
-    def note(self, incarnation_id: str, now_s: float) -> None:
+    def record(self, incarnation_id: str, now_s: float) -> None:
         """Record a refusal that looks like leaving."""
         self._since_s[incarnation_id] = now_s
 
-    def left_alone(self, now_s: float, confirmed_s: float) -> dict[str, float]:
+    def to_avoid(self, now_s: float, confirmed_s: float) -> dict[str, float]:
         """Return the servers to avoid, with the remaining seconds.
 
         Parameters
@@ -97,13 +97,13 @@
     def __contains__(self, incarnation_id: object) -> bool:
         return incarnation_id in self._announced_s
 
-    def note(self, incarnation_id: str, now_s: float) -> bool:
+    def record(self, incarnation_id: str, now_s: float) -> bool:
         """Record a server's announcement; return whether it is the first."""
         is_first = incarnation_id not in self._announced_s
         self._announced_s[incarnation_id] = now_s
         return is_first
 
-    def told(self, now_s: float) -> dict[str, float]:
+    def to_announce(self, now_s: float) -> dict[str, float]:
         """Return the servers that peers should avoid, with the remaining seconds.
 
         After that time, a server is gone or has announced it to the peers itself.
--- a/packages/proxy/src/sassafrastally/proxy/liveness.py
+++ b/packages/proxy/src/sassafrastally/proxy/liveness.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from sassafrastally.proxy.connection_pool import CONNECT_TIME_S
 from sassafrastally.proxy.http_stream import ConnectionLost, connect
-from sassafrastally.proxy.pool import CONNECT_TIME_S
 
 if TYPE_CHECKING:
     from sassafrastally.proxy.model import BackendServer
--- a/packages/proxy/src/sassafrastally/proxy/long_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/long_placement.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sassafrastally.proxy.lanes import Lanes, Scatter, ServerView
+    from sassafrastally.proxy.lanes import Lanes, PlacementRandomizer, ServerView
     from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.prefill_limits import PrefillLimits
 
@@ -51,7 +51,7 @@
     goal_s: float,
     profile: EngineProfile,
     limits: PrefillLimits,
-    scatter: Scatter,
+    randomizer: PlacementRandomizer,
 ) -> Placement | None:
     """Return the plan with the lowest cost for a long prompt, over all group sizes.
 
@@ -67,7 +67,7 @@
     ]
     # Equally good engines are taken in a random order: otherwise two entries that place long
     # prompts at the same time would choose the same engines.
-    scatter.random.shuffle(candidates)
+    randomizer.random.shuffle(candidates)
     needed = prompt.prompt_tokens + prompt.output_tokens
     usual_part_ms = own_ms / min(MAX_HELPERS + 1, max(1, len(candidates)))
     considered = _least_delayed(candidates, MAX_CONSIDERED_ENGINES, usual_part_ms, limits)
--- a/packages/proxy/src/sassafrastally/proxy/suspicion.py
+++ b/packages/proxy/src/sassafrastally/proxy/outlier_ejection.py
@@ -15,7 +15,7 @@
 MAX_EJECTION_S = 8.0
 """Longest ejection time; the time doubles with each consecutive failure."""
 
-FAILURES_IN_A_ROW = 2
+MAX_CONSECUTIVE_FAILURES = 2
 """Consecutive failed answers from which a server is suspect. A single failure is normal: healthy
 servers of plain services fail some of their requests."""
 
@@ -26,7 +26,7 @@
     until_s: float = float("-inf")
 
 
-class Suspicion:
+class OutlierEjection:
     """Consecutive failures and ejection times by backend server."""
 
     def __init__(self) -> None:
@@ -45,11 +45,11 @@
             if now_s < record.until_s
         }
 
-    def succeeded(self, incarnation_id: str) -> None:
+    def record_success(self, incarnation_id: str) -> None:
         """Note a successful answer, which clears the failures."""
         self._records.pop(incarnation_id, None)
 
-    def failed(self, incarnation_id: str, now_s: float, *, is_clear: bool) -> float:
+    def record_failure(self, incarnation_id: str, now_s: float, *, is_conclusive: bool) -> float:
         """Note a failure; return how long the server is ejected, 0 if it isn't.
 
         Parameters
@@ -58,12 +58,12 @@
             The backend server.
         now_s
             Present time.
-        is_clear
+        is_conclusive
             Whether a single failure is sufficient, as when nothing listens at its address.
         """
         record = self._records.get(incarnation_id, _Record())
         failures = record.failures + 1
-        if not is_clear and failures < FAILURES_IN_A_ROW:
+        if not is_conclusive and failures < MAX_CONSECUTIVE_FAILURES:
             self._records[incarnation_id] = record._replace(failures=failures)
             return 0.0
         for_s = min(MAX_EJECTION_S, max(FIRST_EJECTION_S, 2 * record.for_s))
--- a/packages/proxy/src/sassafrastally/proxy/pace.py
+++ b/packages/proxy/src/sassafrastally/proxy/pace.py
@@ -29,13 +29,13 @@
     at_s: float
 
 
-class Paces:
+class PaceReports:
     """Latest pace of each engine that this process polls."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _PaceReport] = {}
 
-    def note(self, incarnation_id: str, pace: float, now_s: float) -> None:
+    def record(self, incarnation_id: str, pace: float, now_s: float) -> None:
         """Note the pace in a report."""
         self._reports[incarnation_id] = _PaceReport(pace, now_s)
 
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -36,10 +36,10 @@
 
 if TYPE_CHECKING:
     from sassafrastally.proxy.attempt import AttemptSender, Request
-    from sassafrastally.proxy.budget import RetryBudget
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.model import Configuration, Customer, Route
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.retry_budget import RetryBudget
 
 NO_CONFIGURATION_RETRY_AFTER_S = 0.3
 """Retry delay that callers are given while no configuration is loaded. A process loads it within a
@@ -87,7 +87,7 @@
         fleet_view = self.kernel.get("sight", FleetView)
         backpressure = self.kernel.get("backpressure", Backpressure)
         quarantine = self.kernel.get("quarantine", QuarantineService)
-        self._attempts.on_answer = backpressure.note_answer
+        self._attempts.on_answer = backpressure.record_answer
         quarantine.on_verdict = fleet_view.waiting_attempts.cancel_request
         self.services = RequestServices(
             self.kernel,
@@ -188,7 +188,7 @@
     def _record_unanswered(self, task: RequestTask, progress: Progress) -> None:
         """Record an attempt in flight when the caller disconnected or the deadline passed."""
         if progress.pending is not None:
-            self.services.crash_detector.note_unanswered(progress.pending, task)
+            self.services.crash_detector.record_missing_answer(progress.pending, task)
 
     def _record_broken_stream(
         self, task: RequestTask, progress: Progress, local_reply: LocalReply
--- a/packages/proxy/src/sassafrastally/proxy/peer_table.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_table.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from sassafrastally.proxy.load import sum_work
-from sassafrastally.proxy.sharing import (
+from sassafrastally.proxy.load_exchange import (
     RELAYS,
     STORE_PROBERS,
     Member,
--- a/packages/proxy/src/sassafrastally/proxy/peers.py
+++ b/packages/proxy/src/sassafrastally/proxy/peers.py
@@ -4,7 +4,7 @@
 and at least a few times a second. A peer that sends none for a while times out, so that the load of
 a dead entry doesn't keep engines marked as busy. The store holds the entries' addresses, and
 datagrams list the peers from which the sender receives, so that one address is enough to discover
-all. The module `sharing` determines which entries send to which.
+all. The module `load_exchange` determines which entries send to which.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.limit_exchange import LimitExchange, NullLimitExchange
 from sassafrastally.proxy.load import server_hash
+from sassafrastally.proxy.load_exchange import Member, is_urgent_for_sums
 from sassafrastally.proxy.log_events import CentreHeard, CentreSilent, PeerHeard, PeerSilent
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.peer_table import PEER_TIMEOUT_S, PeerTable
@@ -29,7 +30,6 @@
     NullQuarantineExchange,
     QuarantineExchange,
 )
-from sassafrastally.proxy.sharing import Member, is_urgent_for_sums
 from sassafrastally.proxy.store_watchers import WatchCandidate
 
 if TYPE_CHECKING:
@@ -122,13 +122,13 @@
         """Announce to the peers that this entry is stopping."""
         self._is_stopping = True
 
-    def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
+    def record_snapshot(self, entries: Sequence[KvEntry]) -> None:
         """Read the entries' addresses from a snapshot of the store."""
-        self._address_registration.note_snapshot(entries)
+        self._address_registration.record_snapshot(entries)
 
     def note_changes(self, events: Sequence[KvEvent]) -> None:
         """Read the entries' addresses from changes of the store."""
-        self._address_registration.note_entries(events)
+        self._address_registration.record_entries(events)
 
     def has_known_peers(self) -> bool:
         """Return whether the address of another entry is known."""
@@ -306,7 +306,7 @@
             await self._send_to(self._table.receivers(self._now_s).own_state_receivers, own)
             self._wake_sums_for_prefill(sent_loads, own.loads)
             sent_loads = own.loads
-            self._note_silent(silent)
+            self._record_silent(silent)
             await self._forget_old()
             gap_s = self.min_send_interval_s
             with trio.move_on_after(gap_s) as gap:
@@ -379,7 +379,7 @@
             if host in self._calls:
                 await self._calls.pop(host).close()
 
-    def _note_silent(self, silent: set[str]) -> None:
+    def _record_silent(self, silent: set[str]) -> None:
         for host, silent_s in self._table.newly_silent(silent, self._now_s):
             self.kernel.events.emit(PeerSilent(host, round(silent_s, 3)))
 
--- a/packages/proxy/src/sassafrastally/proxy/placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/placement.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sassafrastally.proxy.lanes import Scatter, ServerView
+    from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView
     from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.prefill_limits import PrefillLimits
@@ -34,7 +34,7 @@
     goal_s: float,
     profile: EngineProfile,
     limits: PrefillLimits,
-    scatter: Scatter,
+    randomizer: PlacementRandomizer,
     *,
     by_centre: bool = False,
 ) -> Placement | None:
@@ -60,8 +60,8 @@
     for candidates in (usual, views) if has_slow else (views,):
         if not candidates:
             continue
-        lanes = split(candidates, profile, scatter)
-        plan = place_prompt(lanes, lane, prompt, goal_s, profile, limits, scatter)
+        lanes = split(candidates, profile, randomizer)
+        plan = place_prompt(lanes, lane, prompt, goal_s, profile, limits, randomizer)
         if plan is None:
             continue
         plans.append(_with_lanes(plan, lanes, candidates, limits))
@@ -93,7 +93,7 @@
     goal_s: float,
     profile: EngineProfile,
     limits: PrefillLimits,
-    scatter: Scatter,
+    randomizer: PlacementRandomizer,
 ) -> Placement | None:
     """Return the placement of a prompt; ``None`` when no engine has room.
 
@@ -111,15 +111,17 @@
         Performance profile of the engines.
     limits
         Limits on the prefill time that a prompt adds to a pass.
-    scatter
+    randomizer
         Randomizes the choice among equally good engines.
     """
     if lane is Lane.SHORT:
-        return place_short(lanes, prompt, goal_s, profile, limits, scatter)
-    within_limits = place_long(lanes, prompt, goal_s, profile, limits, scatter)
+        return place_short(lanes, prompt, goal_s, profile, limits, randomizer)
+    within_limits = place_long(lanes, prompt, goal_s, profile, limits, randomizer)
     if within_limits is not None and within_limits.predicted_s <= goal_s:
         return within_limits
-    ignoring_limits = place_long(_without_limits(lanes), prompt, goal_s, profile, limits, scatter)
+    ignoring_limits = place_long(
+        _without_limits(lanes), prompt, goal_s, profile, limits, randomizer
+    )
     plans = [plan for plan in (within_limits, ignoring_limits) if plan is not None]
     return min(plans, key=lambda plan: plan.predicted_s, default=None)
 
--- a/packages/proxy/src/sassafrastally/proxy/plain_request.py
+++ b/packages/proxy/src/sassafrastally/proxy/plain_request.py
@@ -88,7 +88,7 @@
         try:
             with trio.move_on_at(self._attempt_deadline_s(begin_s)):
                 answer = await self._exchange(server, begin_s)
-                self._services.fleet_view.note_success(server.incarnation_id)
+                self._services.fleet_view.record_success(server.incarnation_id)
                 self._record_success(answer.status)
                 return answer
             await self._record_unknown(server, begin_s, "no answer within the attempt's time limit")
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -67,7 +67,7 @@
     is_presumed: bool = False
     """Whether it is based on crashes that aren't certain yet."""
 
-    def come_back_after_s(self, now_s: float) -> float:
+    def retry_delay_s(self, now_s: float) -> float:
         """Return when its caller should retry: soon while other requests may still explain it."""
         if now_s - self.since_s < VERDICT_SETTLED_S:
             return UNSETTLED_RETRY_AFTER_S
@@ -117,21 +117,21 @@
         self._end_verdicts(now_s)
         return list(self._verdicts.values())
 
-    def crashes_under(self, fingerprint: int, now_s: float) -> int:
+    def crash_count(self, fingerprint: int, now_s: float) -> int:
         """Return how many crashes count against a request."""
         return self._count_crashes(fingerprint, now_s, is_certain=False)
 
-    def suspects_with(self, fingerprint: int, now_s: float) -> dict[int, int]:
+    def crash_counts_with(self, fingerprint: int, now_s: float) -> dict[int, int]:
         """Return crash counts of a request and of those that ran on the same crashed servers."""
         crashes = {
-            other: self.crashes_under(other, now_s)
+            other: self.crash_count(other, now_s)
             for other in self._cases.requests_beside(fingerprint)
             if other not in self._verdicts
         }
         suspects = {other: count for other, count in crashes.items() if count}
-        return {fingerprint: self.crashes_under(fingerprint, now_s), **suspects}
+        return {fingerprint: self.crash_count(fingerprint, now_s), **suspects}
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: int,
         server: int,
@@ -159,7 +159,7 @@
             Whether it isn't certain yet that the server has crashed.
         """
         crash = Crash(now_s - age_s, now_s, is_own, is_presumed)
-        if not self._cases.note_crash(fingerprint, server, crash):
+        if not self._cases.record_crash(fingerprint, server, crash):
             return None
         self._end_verdicts(now_s)
         self._cases.evict_excess(lambda key: key == fingerprint or key in self._verdicts)
@@ -171,16 +171,16 @@
         certain = self._count_crashes(fingerprint, now_s, is_certain=True)
         if certain >= enough:
             return self._quarantine(fingerprint, now_s, QUARANTINE_S, certain)
-        presumed = self.crashes_under(fingerprint, now_s)
+        presumed = self.crash_count(fingerprint, now_s)
         if known is not None or presumed < enough:
             return None
         return self._quarantine(
             fingerprint, now_s, PRESUMED_CRASH_KEPT_S, presumed, is_presumed=True
         )
 
-    def note_answered(self, fingerprint: int, now_s: float) -> bool:
+    def record_answered(self, fingerprint: int, now_s: float) -> bool:
         """Record a complete answer to a request; return whether it had crashes or a verdict."""
-        self._cases.note_own_answer(fingerprint, now_s)
+        self._cases.record_own_answer(fingerprint, now_s)
         if fingerprint not in self._cases and fingerprint not in self._verdicts:
             return False
         self._apply_answer(fingerprint, now_s, now_s)
@@ -243,7 +243,7 @@
         for answer in news.answers:
             self._apply_answer(answer.fingerprint, now_s - answer.age_s, now_s)
         found = [
-            self.note_crash(
+            self.record_crash(
                 crash.fingerprint,
                 crash.server,
                 now_s,
@@ -323,7 +323,7 @@
         for key, verdict in list(self._verdicts.items()):
             if key not in causes and servers[key] and servers[key] <= explained:
                 del self._verdicts[key]
-                self._note_lifted(key, now_s)
+                self._record_lifted(key, now_s)
                 self._lifted.append(Lifted(verdict, "other requests explain its crashes"))
 
     def _end(self, verdict: Verdict, now_s: float) -> None:
@@ -333,9 +333,9 @@
         self._ended[verdict.fingerprint] = verdict
         if len(self._ended) > MAX_VERDICTS:
             del self._ended[next(iter(self._ended))]
-        self._note_lifted(verdict.fingerprint, now_s)
+        self._record_lifted(verdict.fingerprint, now_s)
 
-    def _note_lifted(self, fingerprint: int, now_s: float) -> None:
+    def _record_lifted(self, fingerprint: int, now_s: float) -> None:
         """Remember that a verdict has ended while peers may still send it."""
         self._lifted_s = {
             key: at_s
@@ -364,7 +364,7 @@
         if not self._cases.was_answered(fingerprint):
             return False
         is_all_known = len(self._cases.servers(fingerprint)) >= crashes
-        return is_all_known and self.crashes_under(fingerprint, now_s) < CRASHES_FOR_VERDICT
+        return is_all_known and self.crash_count(fingerprint, now_s) < CRASHES_FOR_VERDICT
 
     def _apply_answer(self, fingerprint: int, at_s: float, now_s: float) -> None:
         """Apply an answer, which clears the request: a harmful one is never answered."""
@@ -376,14 +376,14 @@
             return
         if at_s > verdict.since_s:
             del self._verdicts[fingerprint]
-            self._note_lifted(fingerprint, now_s)
+            self._record_lifted(fingerprint, now_s)
         else:
             self._lift_refuted(verdict, now_s)
 
     def _lift_refuted(self, verdict: Verdict, now_s: float) -> None:
         if self._is_refuted(verdict.fingerprint, verdict.crashes, now_s):
             del self._verdicts[verdict.fingerprint]
-            self._note_lifted(verdict.fingerprint, now_s)
+            self._record_lifted(verdict.fingerprint, now_s)
 
     def _verdict_news(self, now_s: float, is_full: bool) -> tuple[VerdictReport, ...]:
         if not self._verdicts:
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
@@ -94,20 +94,20 @@
         """Return the verdict on a request, if one is in force."""
         return self._quarantine.verdict(fingerprint, self._now_s)
 
-    def crashes_under(self, fingerprint: int) -> int:
+    def crash_count(self, fingerprint: int) -> int:
         """Return how many crashes count against a request."""
-        return self._quarantine.crashes_under(fingerprint, self._now_s)
+        return self._quarantine.crash_count(fingerprint, self._now_s)
 
     @property
     def update_age_s(self) -> float:
         """Maximum time until nearby entries know of each other's crash records."""
         return self._peers.update_age_s
 
-    def suspects_with(self, fingerprint: int) -> dict[int, int]:
+    def crash_counts_with(self, fingerprint: int) -> dict[int, int]:
         """Return crash counts of a request and of those that ran on the same crashed servers."""
-        return self._quarantine.suspects_with(fingerprint, self._now_s)
+        return self._quarantine.crash_counts_with(fingerprint, self._now_s)
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: int,
         server: BackendServer,
@@ -116,7 +116,7 @@
         is_presumed: bool = False,
     ) -> None:
         """Record that a server crashed while it ran a request of this entry."""
-        verdict = self._quarantine.note_crash(
+        verdict = self._quarantine.record_crash(
             fingerprint,
             server_hash(server.incarnation_id),
             self._now_s,
@@ -125,17 +125,17 @@
             is_presumed=is_presumed,
         )
         if verdict is not None:
-            self._note_verdict(verdict, "own", self._now_s)
+            self._record_verdict(verdict, "own", self._now_s)
         self._peers.send_now()
 
-    def note_answered(self, fingerprint: int) -> None:
+    def record_answered(self, fingerprint: int) -> None:
         """Record that a request got a complete answer."""
         was_quarantined = self.verdict(fingerprint) is not None
-        if not self._quarantine.note_answered(fingerprint, self._now_s):
+        if not self._quarantine.record_answered(fingerprint, self._now_s):
             return
         self._peers.send_now()
         if was_quarantined and self.verdict(fingerprint) is None:
-            self._note_lifted(fingerprint, "a server answered it")
+            self._record_lifted(fingerprint, "a server answered it")
 
     def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return the records that this entry has made itself."""
@@ -150,10 +150,10 @@
         before = self._quarantine.version
         quarantined = {verdict.fingerprint for verdict in self._quarantine.verdicts(self._now_s)}
         for verdict in self._quarantine.apply(news, self._now_s):
-            self._note_verdict(verdict, "peer", self._peer_verdict_due_s())
+            self._record_verdict(verdict, "peer", self._peer_verdict_due_s())
         for answer in news.answers:
             if answer.fingerprint in quarantined and self.verdict(answer.fingerprint) is None:
-                self._note_lifted(answer.fingerprint, "a server answered it for a peer")
+                self._record_lifted(answer.fingerprint, "a server answered it for a peer")
         return self._quarantine.version != before
 
     @property
@@ -166,7 +166,7 @@
         )
         return self._now_s + wait_s
 
-    def _note_verdict(self, verdict: Verdict, source: str, due_s: float) -> None:
+    def _record_verdict(self, verdict: Verdict, source: str, due_s: float) -> None:
         fingerprint = fingerprint_text(verdict.fingerprint)
         for_s = round(verdict.until_s - self._now_s, 1)
         self.kernel.events.emit(RequestQuarantined(fingerprint, verdict.crashes, for_s, source))
@@ -176,7 +176,7 @@
         if self.on_verdict is not None:
             self.on_verdict(verdict.fingerprint)
 
-    def _note_lifted(self, fingerprint: int, reason: str) -> None:
+    def _record_lifted(self, fingerprint: int, reason: str) -> None:
         self._due_s.pop(fingerprint, None)
         self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
         if self._cluster_state.has_key(self._key(fingerprint)):
@@ -205,7 +205,7 @@
         received = VerdictReport(fingerprint, QUARANTINE_S, crashes)
         verdict = self._quarantine.apply_verdict(received, self._now_s)
         if verdict is not None:
-            self._note_verdict(verdict, "store", self._now_s)
+            self._record_verdict(verdict, "store", self._now_s)
 
     async def _record(self) -> None:
         """Write verdict records to the store when due, and remove those of lifted verdicts."""
@@ -254,7 +254,7 @@
         while True:
             await trio.sleep(CLEANUP_INTERVAL_S)
             for lifted in self._quarantine.forget_old(self._now_s):
-                self._note_lifted(lifted.verdict.fingerprint, lifted.reason)
+                self._record_lifted(lifted.verdict.fingerprint, lifted.reason)
             for verdict in self._quarantine.verdicts(self._now_s):
                 # The record's lease may have expired early during a store outage.
                 if not self._cluster_state.has_key(self._key(verdict.fingerprint)):
--- a/packages/proxy/src/sassafrastally/proxy/rate_shares.py
+++ b/packages/proxy/src/sassafrastally/proxy/rate_limit_sharing.py
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         self._at_s: deque[float] = deque()
 
-    def note(self, now_s: float) -> None:
+    def record(self, now_s: float) -> None:
         """Record a request that is sent now."""
         self._forget_old(now_s)
         self._at_s.append(now_s)
@@ -91,7 +91,7 @@
         self._forget_old(now_s)
         return len(self._at_s)
 
-    def room_in_s(self, share_per_s: float, now_s: float) -> float:
+    def wait_s(self, share_per_s: float, now_s: float) -> float:
         """Return the time until one more request fits into a share of the server's limit.
 
         Requests sent before the limit was known count too, since the server has received them.
--- a/packages/proxy/src/sassafrastally/proxy/reports.py
+++ b/packages/proxy/src/sassafrastally/proxy/reports.py
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_S = 0.1
 """Time between two checks for due reports: a third of the shortest report interval."""
 
-FAILURES_IN_A_ROW = 2
+MAX_CONSECUTIVE_FAILURES = 2
 """Consecutive failed reports after which an engine is suspected; a single one may be lost in
 transit. If the report was requested because a request got no response, one failure is enough."""
 
@@ -154,15 +154,15 @@
             self._failures[engine.incarnation_id] = failures
             if self._is_probably_cut_off():
                 return
-            if request_id or failures >= FAILURES_IN_A_ROW:
+            if request_id or failures >= MAX_CONSECUTIVE_FAILURES:
                 reason = f"no report: {cause.detail}"
-                self._fleet_view.note_failure(engine, reason, request_id, is_clear=True)
+                self._fleet_view.record_failure(engine, reason, request_id, is_conclusive=True)
             return
         self._failures.pop(engine.incarnation_id, None)
         if report.born_ms is not None and report.born_ms != engine.born_ms:
             return  # Another incarnation answers; its store record will follow.
         was_slow = engine.incarnation_id in self._fleet_view.paces()
-        self._fleet_view.note_pace(engine, report.pace)
+        self._fleet_view.record_pace(engine, report.pace)
         if report.pace >= SLOW_PACE and not was_slow:
             self.kernel.events.emit(EngineSlow(engine.server_id, report.pace))
         elif report.pace < SLOW_PACE and was_slow:
--- a/packages/proxy/src/sassafrastally/proxy/request_handler.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_handler.py
@@ -4,7 +4,6 @@
 
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.apart import dealt_server
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.backpressure import CallKind
 from sassafrastally.proxy.fingerprint import fingerprint_text
@@ -12,8 +11,9 @@
 from sassafrastally.proxy.metrics import ATTEMPTS_FAILED
 from sassafrastally.proxy.model import AttemptParameters
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, QUARANTINED, SERVERS_LIMITED, TURNED_AWAY
+from sassafrastally.proxy.suspect_placement import assigned_servers
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
-from sassafrastally.proxy.turning_away import MIN_RETRY_DELAY_S, come_back_after_s
+from sassafrastally.proxy.turning_away import MIN_RETRY_DELAY_S, retry_delay_s
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -75,10 +75,10 @@
         """
         service = self._task.service
         time_left_s = self._task.time_left_s(self._clock.now_s())
-        available_in_s = self._services.fleet_view.come_back_s(service, time_left_s)
+        available_in_s = self._services.fleet_view.available_in_s(service, time_left_s)
         if available_in_s is None:
             random_share = self._services.kernel.random.random()
-            return LocalReply(refusal, detail, come_back_after_s(time_left_s, random_share))
+            return LocalReply(refusal, detail, retry_delay_s(time_left_s, random_share))
         refusal = TURNED_AWAY if self.progress.attempts else SERVERS_LIMITED
         detail = f"service {service}: the next one takes a request in {available_in_s:.2f} s"
         return LocalReply(refusal, detail, max(MIN_RETRY_DELAY_S, available_in_s))
@@ -97,23 +97,23 @@
         )
         if self.progress.may_have_run:
             return LocalReply(MAY_HAVE_RUN, detail)
-        return LocalReply(QUARANTINED, detail, verdict.come_back_after_s(now_s))
+        return LocalReply(QUARANTINED, detail, verdict.retry_delay_s(now_s))
 
     def _is_suspect(self) -> bool:
         """Return whether a server has crashed while running the request, whatever the cause."""
-        return self._services.quarantine.crashes_under(self._task.fingerprint) > 0
+        return self._services.quarantine.crash_count(self._task.fingerprint) > 0
 
     def _isolate(self, views: Sequence[ServerView]) -> list[ServerView]:
         """Return the server for a suspect request, isolated from requests that crashed with it."""
         fingerprint = self._task.fingerprint
-        return dealt_server(
-            views, fingerprint, self._services.quarantine.suspects_with(fingerprint)
+        return assigned_servers(
+            views, fingerprint, self._services.quarantine.crash_counts_with(fingerprint)
         )
 
     def _record_success(self, status: int) -> None:
         """Record a complete, successful response: the request doesn't crash servers."""
         if status < NON_SUCCESS_STATUS:
-            self._services.quarantine.note_answered(self._task.fingerprint)
+            self._services.quarantine.record_answered(self._task.fingerprint)
 
     def _can_fail_over(self) -> bool:
         """Return whether the request may still fail over to another server."""
@@ -161,14 +161,14 @@
         now_s = self._clock.now_s()
         budget = self._services.budget
         entries = self._services.fleet_view.entries
-        if budget.take(service, entries, now_s):
+        if budget.try_spend(service, entries, now_s):
             return True
         self._emit(
             RetryBudgetSpent(
                 self._request_id,
                 service,
-                budget.repeats(service, now_s),
-                round(budget.allowed(service, entries, now_s), 1),
+                budget.retry_count(service, now_s),
+                round(budget.retry_allowance(service, entries, now_s), 1),
             )
         )
         return False
@@ -192,15 +192,17 @@
         at_fault = [helper for helper in helpers if helper.address == cause.failed_server_address]
         for helper in at_fault:
             reason = "reported as the cause by another server"
-            self._services.fleet_view.note_refusal(helper, reason, self._request_id, is_clear=True)
+            self._services.fleet_view.record_refusal(
+                helper, reason, self._request_id, is_conclusive=True
+            )
         if at_fault or not cause.counts_against_server:
             return
         if cause.is_unreachable:
-            self._services.fleet_view.note_failure(
-                server, cause.detail, self._request_id, is_clear=True
+            self._services.fleet_view.record_failure(
+                server, cause.detail, self._request_id, is_conclusive=True
             )
         else:
-            self._services.fleet_view.note_refusal(server, cause.detail, self._request_id)
+            self._services.fleet_view.record_refusal(server, cause.detail, self._request_id)
 
     async def _record_unknown(
         self, server: BackendServer, begin_s: float, cause: AttemptUnknown | str
@@ -210,14 +212,14 @@
         self._record_abandoned(server, begin_s, detail)
         fleet_view, crash_detector = self._services.fleet_view, self._services.crash_detector
         if isinstance(cause, str):
-            fleet_view.note_failure(server, detail, self._request_id)
-            crash_detector.note_unanswered(server, self._task)
+            fleet_view.record_failure(server, detail, self._request_id)
+            crash_detector.record_missing_answer(server, self._task)
         elif cause.is_timeout:
-            fleet_view.note_silence(server, self._request_id)
-            crash_detector.note_unanswered(server, self._task)
+            fleet_view.record_timeout(server, self._request_id)
+            crash_detector.record_missing_answer(server, self._task)
         else:
-            fleet_view.note_failure(server, detail, self._request_id)
-            await crash_detector.note_broken_off(server, self._task, detail)
+            fleet_view.record_failure(server, detail, self._request_id)
+            await crash_detector.record_broken_answer(server, self._task, detail)
 
     def _record_abandoned(self, server: BackendServer, begin_s: float, detail: str) -> None:
         """Record and log an attempt that may have run."""
--- a/packages/proxy/src/sassafrastally/proxy/request_services.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_services.py
@@ -8,13 +8,13 @@
     from sassafrastally.core import Kernel
     from sassafrastally.proxy.attempt import AttemptSender
     from sassafrastally.proxy.backpressure import Backpressure
-    from sassafrastally.proxy.budget import RetryBudget
     from sassafrastally.proxy.crash_detector import CrashDetector
     from sassafrastally.proxy.dialect import Dialect
     from sassafrastally.proxy.fleet_view import FleetView
     from sassafrastally.proxy.prefill_limits import PrefillLimitsCache
     from sassafrastally.proxy.quarantine_service import QuarantineService
     from sassafrastally.proxy.reservations import Reservations
+    from sassafrastally.proxy.retry_budget import RetryBudget
 
 
 class RequestServices(NamedTuple):
--- a/packages/proxy/src/sassafrastally/proxy/budget.py
+++ b/packages/proxy/src/sassafrastally/proxy/retry_budget.py
@@ -39,18 +39,18 @@
         """Count a caller's request to a service."""
         self._window(self._requests, service, now_s).append(now_s)
 
-    def repeats(self, service: str, now_s: float) -> int:
+    def retry_count(self, service: str, now_s: float) -> int:
         """Return the number of retries in the window."""
         return len(self._window(self._repeats, service, now_s))
 
-    def allowed(self, service: str, entries: int, now_s: float) -> float:
+    def retry_allowance(self, service: str, entries: int, now_s: float) -> float:
         """Return how many retries this entry may send in a window."""
         requests = len(self._window(self._requests, service, now_s))
         return USABLE_BUDGET_SHARE * (self._ratio * requests + self._extra / max(1, entries))
 
-    def take(self, service: str, entries: int, now_s: float) -> bool:
+    def try_spend(self, service: str, entries: int, now_s: float) -> bool:
         """Count a retry and return whether the budget allows it."""
-        if self.repeats(service, now_s) + 1 > self.allowed(service, entries, now_s):
+        if self.retry_count(service, now_s) + 1 > self.retry_allowance(service, entries, now_s):
             return False
         self._repeats[service].append(now_s)
         return True
--- a/packages/proxy/src/sassafrastally/proxy/server_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/server_limits.py
@@ -65,13 +65,13 @@
         record = self._records.get(key)
         return record.most_per_s if record else None
 
-    def note_answer_limit(self, key: int, most_per_s: float | None, now_s: float) -> LimitChange:
+    def record_answer_limit(self, key: int, most_per_s: float | None, now_s: float) -> LimitChange:
         """Record the limit in a server's answer; ``None`` if the answer has none."""
         if most_per_s is None and key not in self._records:
             return LimitChange.NOTHING
         return self._update(key, most_per_s, now_s)
 
-    def note_peer_limit(self, key: int, news: LimitReport, now_s: float) -> LimitChange:
+    def record_peer_limit(self, key: int, news: LimitReport, now_s: float) -> LimitChange:
         """Record a limit that a peer has reported."""
         known = self._records.get(key)
         received_s = now_s - news.age_s
--- a/packages/proxy/src/sassafrastally/proxy/short_placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/short_placement.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sassafrastally.proxy.lanes import Lanes, Scatter, ServerView
+    from sassafrastally.proxy.lanes import Lanes, PlacementRandomizer, ServerView
     from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.prefill_limits import PrefillLimits
@@ -39,7 +39,7 @@
     goal_s: float,
     profile: EngineProfile,
     limits: PrefillLimits,
-    scatter: Scatter,
+    randomizer: PlacementRandomizer,
 ) -> Placement | None:
     """Return the placement of a short prompt; ``None`` when no engine has room.
 
@@ -52,7 +52,7 @@
     """
     own_ms = prefill_ms(profile, prompt.prompt_tokens)
     fitting = [view for view in reversed(lanes.short) if has_room(view, prompt, profile)]
-    ranked = _ranked_with_random_start(fitting, profile, limits, scatter)
+    ranked = _ranked_with_random_start(fitting, profile, limits, randomizer)
     latest_ms = SAFE_GOAL_SHARE * goal_s * 1000 - own_ms
     if not ranked or first_event_ms(ranked[0], 0.0, profile) > latest_ms:
         fitting += [view for view in reversed(lanes.long) if has_room(view, prompt, profile)]
@@ -70,7 +70,7 @@
     fitting: Sequence[ServerView],
     profile: EngineProfile,
     limits: PrefillLimits,
-    scatter: Scatter,
+    randomizer: PlacementRandomizer,
 ) -> list[ServerView]:
     """Return the engines in the order of preference, the first of them randomized.
 
@@ -80,15 +80,17 @@
     ranked = sorted(fitting, key=lambda view: _short_rank(view, profile, limits))
     if not ranked:
         return []
-    unseen_requests = scatter.unseen_requests(sum(view.work.short_requests for view in fitting))
+    unreported_requests = randomizer.unreported_requests(
+        sum(view.work.short_requests for view in fitting)
+    )
     latest_ms = first_event_ms(ranked[0], 0.0, profile) + limits.max_short_part_ms
-    width = 1 + math.ceil(WINDOW_PER_UNSEEN_REQUEST * unseen_requests)
+    width = 1 + math.ceil(WINDOW_PER_UNSEEN_REQUEST * unreported_requests)
     window = [view for view in ranked[:width] if first_event_ms(view, 0.0, profile) <= latest_ms]
     in_window = {id(view) for view in window}
     rest = [view for view in ranked if id(view) not in in_window]
     randomized = []
     while window:
-        pair = scatter.random.sample(window, min(2, len(window)))
+        pair = randomizer.random.sample(window, min(2, len(window)))
         best = min(pair, key=lambda view: view.work.requests)
         window.remove(best)
         randomized.append(best)
--- a/packages/proxy/src/sassafrastally/proxy/slowness.py
+++ b/packages/proxy/src/sassafrastally/proxy/slow_event_detection.py
@@ -21,7 +21,7 @@
 """Consecutive slow events from which an engine counts as slow. Prefill that this process doesn't
 know of yet causes one or two, and packet loss on a link delays single events."""
 
-LEFT_ALONE_S = 3.0
+SLOW_EJECTION_S = 3.0
 """How long a slow engine is ejected before it gets requests again: several request durations."""
 
 MAX_EJECTED_SHARE = 0.25
@@ -29,18 +29,18 @@
 is this process, its link or the whole service, and ejecting them would overload the others."""
 
 
-class Slowness:
+class SlowEventDetector:
     """Outlier detection by consecutive slow events of each backend server."""
 
     def __init__(self) -> None:
         self._in_a_row: dict[str, int] = {}
         self._until_s: dict[str, float] = {}
 
-    def note_usual(self, incarnation_id: str) -> None:
+    def record_usual(self, incarnation_id: str) -> None:
         """Note an event that arrived in the usual time."""
         self._in_a_row.pop(incarnation_id, None)
 
-    def note_slow(self, incarnation_id: str, servers: int, now_s: float) -> bool:
+    def record_slow(self, incarnation_id: str, servers: int, now_s: float) -> bool:
         """Note a slow event not caused by known prefill; return whether its engine is ejected.
 
         Parameters
@@ -58,7 +58,7 @@
         if count < SLOW_EVENTS_IN_A_ROW or len(others) + 1 > MAX_EJECTED_SHARE * servers:
             return False
         del self._in_a_row[incarnation_id]
-        self._until_s[incarnation_id] = now_s + LEFT_ALONE_S
+        self._until_s[incarnation_id] = now_s + SLOW_EJECTION_S
         return True
 
     def forget_gone(self, known: set[str]) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/store_watchers.py
+++ b/packages/proxy/src/sassafrastally/proxy/store_watchers.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from sassafrastally.proxy.sharing import link_rank
+from sassafrastally.proxy.load_exchange import link_rank
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/proxy/src/sassafrastally/proxy/streaming_request.py
+++ b/packages/proxy/src/sassafrastally/proxy/streaming_request.py
@@ -10,21 +10,21 @@
 
 from sassafrastally.proxy.admission import Goals, overload_reason
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
+from sassafrastally.proxy.attempt_migration import remaining_s, should_move_attempt
+from sassafrastally.proxy.data_centre_pools import fits_in_local_data_centre
 from sassafrastally.proxy.event_stream import EventSplitter, StreamEvent
-from sassafrastally.proxy.lanes import Scatter, lane_of
+from sassafrastally.proxy.lanes import PlacementRandomizer, choose_lane
 from sassafrastally.proxy.load import InFlightAttempt, Lane
 from sassafrastally.proxy.log_events import RequestAnswered
 from sassafrastally.proxy.metrics import count_answer
 from sassafrastally.proxy.model import Helper
-from sassafrastally.proxy.moving import is_worth_moving, remaining_s
 from sassafrastally.proxy.placement import place_request
 from sassafrastally.proxy.plan import max_prompt_tokens
-from sassafrastally.proxy.pools import stays_near
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_ROOM, NO_SERVER, TOO_LONG, TURNED_AWAY
 from sassafrastally.proxy.request_handler import SERVER_ERROR_STATUS, RequestHandler
-from sassafrastally.proxy.slowness import slow_event_time_s
+from sassafrastally.proxy.slow_event_detection import slow_event_time_s
 from sassafrastally.proxy.task import LocalReply, RequestTask
-from sassafrastally.proxy.turning_away import is_hopeless
+from sassafrastally.proxy.turning_away import would_miss_deadline
 from sassafrastally.proxy.waiting_attempts import WaitingAttempt
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
         self._profile = profile
         self._prompt = prompt
         self._limits = services.limits.for_service(task.configuration, task.service, profile)
-        self._lane = lane_of(task.route, prompt, profile, self._limits)
+        self._lane = choose_lane(task.route, prompt, profile, self._limits)
         self._last_event_id = task.request.facts.last_event_id
         self._first_s: float | None = None
         self._previous_s = 0.0
@@ -92,7 +92,7 @@
             time_left_s = self._task.time_left_s(self._clock.now_s())
             if self._is_new() and (reason := overload_reason(placement, self._goals())):
                 return self._local_reply(f"{reason}: {self._load_summary()}")
-            if is_hopeless(placement.predicted_s, self._caller_timeout_s(), time_left_s):
+            if would_miss_deadline(placement.predicted_s, self._caller_timeout_s(), time_left_s):
                 detail = f"first event in {placement.predicted_s:.1f} s: {self._load_summary()}"
                 return self._local_reply(detail)
             if await self._attempt(placement):
@@ -131,7 +131,7 @@
             local_views := self._services.fleet_view.local_views(service, tried)
         ):
             plan = self._place_among(local_views)
-            if stays_near(plan, self._goal_s()):
+            if fits_in_local_data_centre(plan, self._goal_s()):
                 return plan
         return self._place_among(self._services.fleet_view.views(service, tried))
 
@@ -144,7 +144,7 @@
             self._goal_s(),
             self._profile,
             self._limits,
-            Scatter(self._services.kernel.random, fleet_view.update_age_s),
+            PlacementRandomizer(self._services.kernel.random, fleet_view.update_age_s),
             by_centre=fleet_view.is_divided(self._task.service),
         )
 
@@ -218,7 +218,7 @@
             ):
                 until_begun.close()
                 attempt.cancel_reason = ""  # The response began before the wait was cancelled.
-                self._services.fleet_view.note_load(
+                self._services.fleet_view.record_load(
                     placement.server.incarnation_id, answer.facts.load
                 )
                 if answer.status >= 300:
@@ -235,7 +235,7 @@
         remaining_here_s = remaining_s(now_s - attempt.begin_s, attempt.predicted_s, pace)
         time_to_goal_s = self._goal_s() - (now_s - self._task.request.arrived_s)
         alternative = self._place()
-        if alternative and is_worth_moving(
+        if alternative and should_move_attempt(
             remaining_here_s, alternative.predicted_s, time_to_goal_s
         ):
             attempt.cancel(
@@ -304,7 +304,7 @@
             # says nothing about the engine.
             waited_s = self._clock.now_s() - waiting_since_s
             if not in_flight.is_in_prefill:
-                self._services.fleet_view.note_event(
+                self._services.fleet_view.record_event(
                     placement.server, waited_s, slow_event_s, self._request_id
                 )
             for event in splitter.feed(chunk):
@@ -315,7 +315,7 @@
         if splitter.rest:
             await self._reply.send(splitter.rest)
         await self._reply.end()
-        self._services.fleet_view.note_success(placement.server.incarnation_id)
+        self._services.fleet_view.record_success(placement.server.incarnation_id)
         self._record_answered(placement, answer.status)
 
     async def _forward_event(self, event: StreamEvent, now_s: float) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/apart.py
+++ b/packages/proxy/src/sassafrastally/proxy/suspect_placement.py
@@ -28,7 +28,7 @@
 UINT64_MASK = (1 << 64) - 1
 
 
-def dealt_server(
+def assigned_servers(
     views: Sequence[ServerView], fingerprint: int, suspects: Mapping[int, int]
 ) -> list[ServerView]:
     """Return the server assigned to a suspect request, or the candidates if there are too few.
--- a/packages/proxy/src/sassafrastally/proxy/turning_away.py
+++ b/packages/proxy/src/sassafrastally/proxy/turning_away.py
@@ -20,7 +20,7 @@
 """Assumed time left of a caller that doesn't state one: the usual time limit of routes."""
 
 
-def is_hopeless(predicted_s: float, patience_s: float, time_left_s: float | None) -> bool:
+def would_miss_deadline(predicted_s: float, patience_s: float, time_left_s: float | None) -> bool:
     """Return whether a caller would disconnect before its answer starts.
 
     With long prompts of many minutes of prefill queued, the answer to one more can start only after
@@ -40,7 +40,7 @@
     return predicted_s > max_wait_s
 
 
-def come_back_after_s(time_left_s: float | None, draw: float) -> float:
+def retry_delay_s(time_left_s: float | None, draw: float) -> float:
     """Return the delay after which a caller should retry.
 
     Parameters
--- a/packages/proxy/src/sassafrastally/proxy/unseen.py
+++ b/packages/proxy/src/sassafrastally/proxy/unreported_requests.py
@@ -24,13 +24,13 @@
     at_s: float
 
 
-class UnseenRequests:
+class UnreportedRequests:
     """Latest excess of requests by backend server."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Count] = {}
 
-    def note(self, incarnation_id: str, load: ServerLoad, known: int, now_s: float) -> None:
+    def record(self, incarnation_id: str, load: ServerLoad, known: int, now_s: float) -> None:
         """Note the load stated in an answer, given the number of known requests."""
         excess = load.running + load.waiting - known - IGNORED_EXCESS_REQUESTS
         if excess > 0:
@@ -46,7 +46,7 @@
             if now_s - count.at_s < COUNT_VALID_S
         }
 
-    def at(self, incarnation_id: str, now_s: float) -> int:
+    def count(self, incarnation_id: str, now_s: float) -> int:
         """Return the number of unreported requests at a server."""
         count = self._counts.get(incarnation_id)
         return count.requests if count and now_s - count.at_s < COUNT_VALID_S else 0
--- a/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
+++ b/packages/proxy/src/sassafrastally/proxy/waiting_attempts.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from sassafrastally.proxy.moving import is_overdue
+from sassafrastally.proxy.attempt_migration import is_overdue
 from sassafrastally.proxy.pace import SLOW_PACE, slowest
 
 if TYPE_CHECKING:
--- a/packages/proxy/src/sassafrastally/proxy/watch.py
+++ b/packages/proxy/src/sassafrastally/proxy/watch.py
@@ -86,7 +86,7 @@
                 changes = await self._store.watch(
                     ALL_KEYS_PREFIX, self._cluster_state.revision, wait_s
                 )
-                self._note_recovered()
+                self._record_recovered()
                 configuration = self._cluster_state.configuration
                 self._peers.note_changes(changes.events)
                 self._cluster_state.apply(changes.events, changes.revision, "store")
@@ -97,7 +97,7 @@
                 self.kernel.events.emit(HistoryReread(self._cluster_state.revision))
                 must_read = True
             except KvUnavailable as cause:
-                self._note_lost(cause)
+                self._record_lost(cause)
                 await trio.sleep(pause_s * self.kernel.random.uniform(0.5, 1.0))
                 pause_s = min(self._max_pause_s(), 2 * pause_s)
 
@@ -105,8 +105,8 @@
         snapshot = await self._store.read_prefix(ALL_KEYS_PREFIX)
         is_first = self._cluster_state.revision == 0
         self._cluster_state.replace(snapshot, "store")
-        self._note_recovered()
-        self._peers.note_snapshot(snapshot.entries)
+        self._record_recovered()
+        self._peers.record_snapshot(snapshot.entries)
         if is_first and self._peers.has_known_peers():
             await trio.sleep(PEER_DISCOVERY_WAIT_S)
 
@@ -131,7 +131,7 @@
                 self._lost_since_s = self.kernel.clock.now_s()
         return self._is_watching
 
-    def _note_lost(self, cause: KvUnavailable) -> None:
+    def _record_lost(self, cause: KvUnavailable) -> None:
         if self._lost_since_s is not None:
             return
         now_s = self.kernel.clock.now_s()
@@ -142,7 +142,7 @@
             StoreLost("watch", cause.detail, self._cluster_state.revision, round(age_s, 3))
         )
 
-    def _note_recovered(self) -> None:
+    def _record_recovered(self) -> None:
         now_s = self.kernel.clock.now_s()
         self._cluster_state.store_answered_s = now_s
         if self._lost_since_s is None:
--- a/packages/proxy/tests/test_pools.py
+++ b/packages/proxy/tests/test_data_centre_pools.py
@@ -7,11 +7,20 @@
 from typing import NamedTuple
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.lanes import Scatter, ServerView, split_lanes, split_lanes_by_centre
+from sassafrastally.proxy.data_centre_pools import (
+    MIN_POOL_ENGINES,
+    divide_by_data_centre,
+    fits_in_local_data_centre,
+)
+from sassafrastally.proxy.lanes import (
+    PlacementRandomizer,
+    ServerView,
+    split_lanes,
+    split_lanes_by_centre,
+)
 from sassafrastally.proxy.load import Lane, Work
 from sassafrastally.proxy.model import BackendServer, EngineProfile, PromptSize
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.pools import MIN_POOL_ENGINES, divide, stays_near
 from sassafrastally.proxy.prefill_limits import PrefillLimits
 
 PROFILE = EngineProfile(
@@ -53,7 +62,7 @@
     """Conditions for one pool per data centre."""
 
     def test_many_engines_in_each_data_centre(self):
-        pools = divide(server(number) for number in range(195))
+        pools = divide_by_data_centre(server(number) for number in range(195))
         assert sorted(pools) == [f"dc-{n}" for n in range(CENTRES)]
         assert sum(len(pool) for pool in pools.values()) == 195
 
@@ -61,14 +70,14 @@
         """A quarter of the engines leave within a second, followed by a burst. Entries that choose
         among all engines from then on learn of most of the load late and overfill the same
         engines."""
-        assert divide(server(number) for number in range(195) if number % 20 >= 5)
+        assert divide_by_data_centre(server(number) for number in range(195) if number % 20 >= 5)
 
     def test_no_pools_with_too_few_engines_or_a_single_data_centre(self):
-        assert divide(server(number) for number in range(45)) == {}
-        assert divide(server(number, 1) for number in range(100)) == {}
+        assert divide_by_data_centre(server(number) for number in range(45)) == {}
+        assert divide_by_data_centre(server(number, 1) for number in range(100)) == {}
         uneven = [server(n, 1) for n in range(100)]
         uneven += [server(n, 2) for n in range(1, 2 * MIN_POOL_ENGINES - 2, 2)]
-        assert divide(uneven) == {}
+        assert divide_by_data_centre(uneven) == {}
 
     def test_lanes_of_a_data_centre_are_those_that_its_own_entries_see(self):
         """An entry in another data centre places a long prompt on the lanes of all engines. If
@@ -100,7 +109,7 @@
         """Place a burst; reports arrive soon in the own data centre and later in the others."""
         draw = random.Random(11)
         servers = [server(number) for number in range(self.ENGINES)]
-        scatter = Scatter(random.Random(3), self.NEAR_REPORT_DELAY_S)
+        randomizer = PlacementRandomizer(random.Random(3), self.NEAR_REPORT_DELAY_S)
         placed: list[tuple[float, float, int, str]] = []
         asked = late = far = 0
         now_s = 0.0
@@ -116,9 +125,9 @@
             plan = None
             for choice in (near, views) if is_near_first else (views,):
                 plan = place_request(
-                    choice, Lane.SHORT, SHORT, GOAL_S, PROFILE, LIMITS, scatter, by_centre=True
+                    choice, Lane.SHORT, SHORT, GOAL_S, PROFILE, LIMITS, randomizer, by_centre=True
                 )
-                if stays_near(plan, GOAL_S):
+                if fits_in_local_data_centre(plan, GOAL_S):
                     break
             asked += 1
             if plan is None:
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.budget import RetryBudget
+from sassafrastally.proxy.attempt_migration import remaining_s, should_move_attempt
 from sassafrastally.proxy.engine_time import pass_ms, prefill_ms
 from sassafrastally.proxy.event_stream import EventSplitter
 from sassafrastally.proxy.lanes import ServerView
-from sassafrastally.proxy.leaving_servers import LeavingServers, looks_leaving
+from sassafrastally.proxy.leaving_servers import LeavingServers, is_probably_leaving
 from sassafrastally.proxy.load import (
     MIN_UNFINISHED_PREFILL_MS,
     InFlightAttempt,
@@ -30,12 +30,13 @@
     ServerLoad,
     ServiceShare,
 )
-from sassafrastally.proxy.moving import is_worth_moving, remaining_s
-from sassafrastally.proxy.pace import REPORT_VALID_S, Paces
+from sassafrastally.proxy.outlier_ejection import OutlierEjection
+from sassafrastally.proxy.pace import REPORT_VALID_S, PaceReports
 from sassafrastally.proxy.plain_placement import place_plain
 from sassafrastally.proxy.report_duty import polls_engine
+from sassafrastally.proxy.retry_budget import RetryBudget
 from sassafrastally.proxy.routes import RouteTable, choose_service
-from sassafrastally.proxy.slowness import Slowness, slow_event_time_s
+from sassafrastally.proxy.slow_event_detection import SlowEventDetector, slow_event_time_s
 from sassafrastally.proxy.store_watchers import (
     FIRST_TAKEOVER_COUNT,
     MAX_TAKEOVER_DELAY_S,
@@ -43,9 +44,8 @@
     WatchCandidate,
     must_watch_store,
 )
-from sassafrastally.proxy.suspicion import Suspicion
-from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
-from sassafrastally.proxy.unseen import UnseenRequests
+from sassafrastally.proxy.turning_away import retry_delay_s, would_miss_deadline
+from sassafrastally.proxy.unreported_requests import UnreportedRequests
 
 PROFILE = EngineProfile(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
 
@@ -61,31 +61,33 @@
         for step in range(1000):
             budget = budgets[step % 4]
             budget.count_request("s", step / 100)
-            sent += budget.take("s", 4, step / 100)
+            sent += budget.try_spend("s", 4, step / 100)
         assert 100 < sent <= 0.2 * 1000 + 100
 
     def test_budget_is_restored_as_the_window_slides(self):
         budget = RetryBudget(0.0, 10, 10.0)
-        assert sum(budget.take("s", 1, 0.0) for _ in range(20)) == 6
-        assert budget.take("s", 1, 11.0)
+        assert sum(budget.try_spend("s", 1, 0.0) for _ in range(20)) == 6
+        assert budget.try_spend("s", 1, 11.0)
 
 
 class TestSuspicion:
     """Outlier ejection after failures."""
 
     def test_one_failure_ejects_a_server_only_if_it_is_clear(self):
-        suspicion = Suspicion()
-        suspicion.failed("a", 0.0, is_clear=False)
-        assert not suspicion.is_suspect("a", 0.0)
-        suspicion.failed("b", 0.0, is_clear=True)
-        assert suspicion.is_suspect("b", 0.5)
+        outlier_ejection = OutlierEjection()
+        outlier_ejection.record_failure("a", 0.0, is_conclusive=False)
+        assert not outlier_ejection.is_suspect("a", 0.0)
+        outlier_ejection.record_failure("b", 0.0, is_conclusive=True)
+        assert outlier_ejection.is_suspect("b", 0.5)
 
     def test_ejection_time_doubles_up_to_a_bound_and_success_ends_it(self):
-        suspicion = Suspicion()
-        times = [suspicion.failed("a", 100.0 * n, is_clear=True) for n in range(6)]
+        outlier_ejection = OutlierEjection()
+        times = [
+            outlier_ejection.record_failure("a", 100.0 * n, is_conclusive=True) for n in range(6)
+        ]
         assert times == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
-        suspicion.succeeded("a")
-        assert not suspicion.is_suspect("a", 500.1)
+        outlier_ejection.record_success("a")
+        assert not outlier_ejection.is_suspect("a", 500.1)
 
 
 class TestServices:
@@ -119,12 +121,12 @@
     def test_excess_counts_until_it_expires(self):
         """An entry that is partitioned from its peers fills the same engines. The excess stated in
         an answer over the known requests counts as load until a newer answer states less."""
-        unseen = UnseenRequests()
-        unseen.note("a", ServerLoad(7, 1, 8), known=2, now_s=0.0)
-        assert unseen.at("a", 0.5) == 5
-        assert unseen.at("a", 1.5) == 0
-        unseen.note("a", ServerLoad(3, 0, 8), known=2, now_s=0.6)
-        assert unseen.at("a", 0.7) == 0
+        unreported = UnreportedRequests()
+        unreported.record("a", ServerLoad(7, 1, 8), known=2, now_s=0.0)
+        assert unreported.count("a", 0.5) == 5
+        assert unreported.count("a", 1.5) == 0
+        unreported.record("a", ServerLoad(3, 0, 8), known=2, now_s=0.6)
+        assert unreported.count("a", 0.7) == 0
 
 
 class TestSlowness:
@@ -133,27 +135,27 @@
     def test_consecutive_slow_events_eject_an_engine_for_a_while(self):
         """An engine becomes four times slower. It still answers, so no request fails, but each long
         prompt that it prefills a part of waits for that part."""
-        slowness = Slowness()
-        found = [slowness.note_slow("a", 8, 0.2 * n) for n in range(4)]
+        detector = SlowEventDetector()
+        found = [detector.record_slow("a", 8, 0.2 * n) for n in range(4)]
         assert found == [False, False, False, True]
-        assert "a" in slowness.slow_servers(1.0)
-        assert slowness.slow_servers(9.0) == {}
+        assert "a" in detector.slow_servers(1.0)
+        assert detector.slow_servers(9.0) == {}
 
     def test_one_usual_event_resets_the_count(self):
-        slowness = Slowness()
+        detector = SlowEventDetector()
         for n in range(20):
             if n % 4 == 3:
-                slowness.note_usual("a")
+                detector.record_usual("a")
             else:
-                assert not slowness.note_slow("a", 8, 0.2 * n)
+                assert not detector.record_slow("a", 8, 0.2 * n)
 
     def test_most_engines_are_never_ejected(self):
         """All engines seem slow when this process is starved of CPU or its link loses packets.
         Ejecting most of them would overload the rest."""
-        slowness = Slowness()
+        detector = SlowEventDetector()
         names = [f"e{n}" for n in range(8)] * 6
-        assert sum(slowness.note_slow(name, 8, 0.01 * n) for n, name in enumerate(names)) == 2
-        assert len(slowness.slow_servers(1.0)) == 2
+        assert sum(detector.record_slow(name, 8, 0.01 * n) for n, name in enumerate(names)) == 2
+        assert len(detector.slow_servers(1.0)) == 2
 
     def test_events_during_the_prefill_of_a_short_prompt_are_not_slow(self):
         """A full engine decodes eight requests and prefills a short prompt in some passes."""
@@ -162,7 +164,7 @@
 
 
 class TestPace:
-    """Paces from the reports of engines."""
+    """PaceReports from the reports of engines."""
 
     def test_each_engine_is_polled_by_one_entry_and_few_are_reassigned(self):
         hosts = [f"10.0.0.{n}" for n in range(6)]
@@ -180,18 +182,18 @@
         assert all(before[engine] == [hosts[0]] for engine in changed)
 
     def test_report_expires(self):
-        paces = Paces()
-        paces.note("a", 5.0, 10.0)
-        paces.note("b", 1.1, 10.0)
+        paces = PaceReports()
+        paces.record("a", 5.0, 10.0)
+        paces.record("b", 1.1, 10.0)
         assert paces.slow(10.5) == {"a": 5.0}
         assert paces.slow(10.0 + REPORT_VALID_S) == {}
 
     def test_prefill_moves_when_it_misses_its_goal_here_and_is_much_sooner_elsewhere(self):
         """A prompt was predicted within 0.5 s, and one of its engines became five times slower."""
         assert remaining_s(1.0, 0.5, 5.0) == pytest.approx(1.5)
-        assert is_worth_moving(2.4, 0.5, goal_left_s=1.5)
-        assert not is_worth_moving(1.2, 0.5, goal_left_s=1.5)
-        assert not is_worth_moving(2.4, 2.0, goal_left_s=1.5)
+        assert should_move_attempt(2.4, 0.5, goal_left_s=1.5)
+        assert not should_move_attempt(1.2, 0.5, goal_left_s=1.5)
+        assert not should_move_attempt(2.4, 2.0, goal_left_s=1.5)
 
     def test_prefill_that_has_just_started_takes_its_whole_time_at_the_pace(self):
         assert remaining_s(0.0, 0.5, 4.0) == pytest.approx(2.0)
@@ -205,21 +207,21 @@
         placed on one of them. A full engine rejects requests too and must not be avoided for
         seconds."""
         idle, full = Work(short_requests=1), Work(short_requests=3, prefill_requests=1)
-        assert looks_leaving(idle, 5, update_age_s=3.0)
-        assert not looks_leaving(full, 5, update_age_s=3.0)
-        assert not looks_leaving(idle, 5, update_age_s=0.3)
+        assert is_probably_leaving(idle, 5, update_age_s=3.0)
+        assert not is_probably_leaving(full, 5, update_age_s=3.0)
+        assert not is_probably_leaving(idle, 5, update_age_s=0.3)
 
     def test_is_avoided_until_it_is_gone_or_confirmed_to_stay(self):
         leaving = LeavingServers()
-        leaving.note("a", 10.0)
-        assert leaving.left_alone(11.0, confirmed_s=8.0) == {"a": 7.0}
-        assert leaving.left_alone(12.5, confirmed_s=11.5) == {"a": 5.5}
-        assert leaving.left_alone(13.0, confirmed_s=12.5) == {}
+        leaving.record("a", 10.0)
+        assert leaving.to_avoid(11.0, confirmed_s=8.0) == {"a": 7.0}
+        assert leaving.to_avoid(12.5, confirmed_s=11.5) == {"a": 5.5}
+        assert leaving.to_avoid(13.0, confirmed_s=12.5) == {}
 
     def test_is_avoided_no_longer_than_it_takes_to_leave(self):
         leaving = LeavingServers()
-        leaving.note("a", 10.0)
-        assert leaving.left_alone(18.0, confirmed_s=8.0) == {}
+        leaving.record("a", 10.0)
+        assert leaving.to_avoid(18.0, confirmed_s=8.0) == {}
 
 
 class TestTurningAway:
@@ -229,7 +231,7 @@
         """Guards against callers that retry within the burst that rejected them: a burst of six
         times the capacity of the engines lasts six seconds, and with a retry delay of 0.5 s all
         callers were rejected for good."""
-        times_s = [come_back_after_s(9.9, n / 200) for n in range(200)]
+        times_s = [retry_delay_s(9.9, n / 200) for n in range(200)]
         assert min(times_s) > 1.9
         assert max(times_s) <= 9.9 / 3
         assert max(times_s) - min(times_s) > 1.0
@@ -238,15 +240,15 @@
         """Ten long prompts are prefilled one after the other. The answer to an eleventh would start
         after 20 s, while its caller disconnects after 12 s. Its prefill would be wasted and delay
         the next prompts."""
-        assert is_hopeless(20.0, 12.0, 14.9)
-        assert is_hopeless(3.0, 12.0, 2.5)
-        assert not is_hopeless(3.0, 12.0, 14.9)
-        assert not is_hopeless(3.0, 12.0, None)
+        assert would_miss_deadline(20.0, 12.0, 14.9)
+        assert would_miss_deadline(3.0, 12.0, 2.5)
+        assert not would_miss_deadline(3.0, 12.0, 14.9)
+        assert not would_miss_deadline(3.0, 12.0, None)
 
     def test_short_time_limit_gets_a_short_delay(self):
-        assert come_back_after_s(0.5, 1.0) < 0.17
-        assert come_back_after_s(0.0, 0.5) > 0
-        assert come_back_after_s(None, 0.5) > 1
+        assert retry_delay_s(0.5, 1.0) < 0.17
+        assert retry_delay_s(0.0, 0.5) > 0
+        assert retry_delay_s(None, 0.5) > 1
 
 
 class TestWatchDuty:
--- a/packages/proxy/tests/test_sharing.py
+++ b/packages/proxy/tests/test_load_exchange.py
@@ -8,15 +8,15 @@
 import trio
 
 from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work
-from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
-from sassafrastally.proxy.peer_table import RELAY_DELAY_S, PeerTable
-from sassafrastally.proxy.sharing import (
+from sassafrastally.proxy.load_exchange import (
     MAX_DIRECT_PEERS,
     RELAYS,
     Member,
     is_ranked_first,
     is_urgent_for_sums,
 )
+from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
+from sassafrastally.proxy.peer_table import RELAY_DELAY_S, PeerTable
 from sassafrastally.proxy.store_watchers import WATCHERS, WatchCandidate, must_watch_store
 
 STEP_S = 0.25
--- a/packages/proxy/tests/test_placement.py
+++ b/packages/proxy/tests/test_placement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sassafrastally.proxy.engine_time import pass_ms, prefill_ms
-from sassafrastally.proxy.lanes import Scatter, ServerView, lane_of, split_lanes
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView, choose_lane, split_lanes
 from sassafrastally.proxy.load import NO_WORK, Lane, Work
 from sassafrastally.proxy.model import (
     PromptSize,
@@ -60,21 +60,21 @@
 
     def test_lanes_are_distinguished_by_the_ratio_of_pauses(self):
         limits = prefill_limits_for([route(0.12), route(0.29), route(0.48)], PROFILE)
-        assert lane_of(route(0.12), SHORT, PROFILE, limits) is Lane.SHORT
-        assert lane_of(route(0.29), SHORT, PROFILE, limits) is Lane.LONG
+        assert choose_lane(route(0.12), SHORT, PROFILE, limits) is Lane.SHORT
+        assert choose_lane(route(0.29), SHORT, PROFILE, limits) is Lane.LONG
 
     def test_routes_with_equal_pauses_share_one_lane(self):
         limits = prefill_limits_for([route(0.6), route(0.6)], PROFILE)
-        assert lane_of(route(0.6), SHORT, PROFILE, limits) is Lane.SHORT
+        assert choose_lane(route(0.6), SHORT, PROFILE, limits) is Lane.SHORT
 
 
 class TestLanes:
     """Split of the engines into lanes."""
 
     def test_lane_follows_the_pause_that_a_route_allows(self):
-        assert lane_of(route(0.25), SHORT, PROFILE, LIMITS) is Lane.SHORT
-        assert lane_of(route(1.0), SHORT, PROFILE, LIMITS) is Lane.LONG
-        assert lane_of(route(0.25), PromptSize(900_000, 1), PROFILE, LIMITS) is Lane.LONG
+        assert choose_lane(route(0.25), SHORT, PROFILE, LIMITS) is Lane.SHORT
+        assert choose_lane(route(1.0), SHORT, PROFILE, LIMITS) is Lane.LONG
+        assert choose_lane(route(0.25), PromptSize(900_000, 1), PROFILE, LIMITS) is Lane.LONG
 
     def test_short_lane_gets_what_it_needs_and_the_long_lane_the_rest(self):
         quiet = split_lanes(views([Work()] * 23), PROFILE)
@@ -275,7 +275,13 @@
     def test_prompt_is_prefilled_by_the_others(self):
         """Guards against an overloaded engine that gets parts of prompts from other engines."""
         placement = place_request(
-            self.fleet(5), Lane.LONG, LONG, 3.0, PROFILE, LIMITS, Scatter(random.Random(1))
+            self.fleet(5),
+            Lane.LONG,
+            LONG,
+            3.0,
+            PROFILE,
+            LIMITS,
+            PlacementRandomizer(random.Random(1)),
         )
         helpers = {helper.server_id for helper in placement.helpers}
         assert helpers
@@ -286,6 +292,12 @@
         """Guards against large prompts that are never answered while all engines are limited."""
         prompt = PromptSize(tokens, 650)
         placement = place_request(
-            self.fleet(10), Lane.LONG, prompt, 4.0, PROFILE, LIMITS, Scatter(random.Random(1))
+            self.fleet(10),
+            Lane.LONG,
+            prompt,
+            4.0,
+            PROFILE,
+            LIMITS,
+            PlacementRandomizer(random.Random(1)),
         )
         assert placement.predicted_s <= 4.0
--- a/packages/proxy/tests/test_placement_replay.py
+++ b/packages/proxy/tests/test_placement_replay.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sassafrastally.proxy.lanes import Scatter, ServerView, split_lanes
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView, split_lanes
 from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work, merge_work
 from sassafrastally.proxy.model import (
     PromptSize,
@@ -107,7 +107,9 @@
         """
         draw = random.Random(7)
         profile = PROFILE._replace(slots=self.SLOTS)
-        scatters = [Scatter(random.Random(n), update_age_s) for n in range(self.ENTRIES)]
+        randomizers = [
+            PlacementRandomizer(random.Random(n), update_age_s) for n in range(self.ENTRIES)
+        ]
         placed: list[tuple[float, float, int, str]] = []
         overfilled_count = asked = 0
         now_s = 0.0
@@ -120,9 +122,9 @@
                 row[3] for row in placed if row[2] == entry or row[0] < now_s - self.REPORT_DELAY_S
             )
             works = [Work(short_requests=reported[f"e{n}"]) for n in range(self.ENGINES)]
-            lanes = split_lanes(views(works), profile, scatters[entry])
+            lanes = split_lanes(views(works), profile, randomizers[entry])
             placement = place_prompt(
-                lanes, Lane.SHORT, SHORT, 0.3, profile, LIMITS, scatters[entry]
+                lanes, Lane.SHORT, SHORT, 0.3, profile, LIMITS, randomizers[entry]
             )
             if placement is None:
                 continue
--- a/packages/proxy/tests/test_quarantine.py
+++ b/packages/proxy/tests/test_quarantine.py
@@ -40,7 +40,7 @@
         """Let a server crash; `ran` maps each entry to the fingerprints of its requests there."""
         for number, fingerprints in ran.items():
             for one in fingerprints:
-                self.quarantines[number].note_crash(one, server, now_s, is_own=True)
+                self.quarantines[number].record_crash(one, server, now_s, is_own=True)
         self.exchange(now_s)
 
     def exchange(self, now_s: float, *, is_full: bool = False) -> None:
@@ -130,7 +130,7 @@
         relay, far = near.quarantines[2], Quarantine()
         far.apply(relay.news(10.3, is_full=False, includes_peers=True), 10.3)
         assert far.verdict(HARMFUL, 10.3) is not None
-        assert far.crashes_under(HARMFUL, 10.3) == 3
+        assert far.crash_count(HARMFUL, 10.3) == 3
 
 
 class TestInnocentRequests:
@@ -142,20 +142,20 @@
         involved in a further one."""
         quarantine = Quarantine()
         for server in (100, 101):
-            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
-            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
-        quarantine.note_crash(HARMFUL, 102, 11.0, is_own=True)
-        assert quarantine.crashes_under(GOOD, 13.0) == 0
-        assert quarantine.note_crash(GOOD, 103, 13.0, is_own=True) is None
-        assert quarantine.crashes_under(GOOD, 13.0) == 1
+            quarantine.record_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.record_crash(GOOD, server, 10.0, is_own=True)
+        quarantine.record_crash(HARMFUL, 102, 11.0, is_own=True)
+        assert quarantine.crash_count(GOOD, 13.0) == 0
+        assert quarantine.record_crash(GOOD, 103, 13.0, is_own=True) is None
+        assert quarantine.crash_count(GOOD, 13.0) == 1
 
     def test_requests_that_always_ran_together_are_both_quarantined(self):
         """Guards against releasing both as explained by each other: the harmful one would crash
         three more servers."""
         quarantine = Quarantine()
         for server in (100, 101, 102):
-            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
-            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.record_crash(GOOD, server, 10.0, is_own=True)
+            quarantine.record_crash(HARMFUL, server, 10.0, is_own=True)
         assert quarantine.verdict(HARMFUL, 10.0) is not None
         assert quarantine.verdict(GOOD, 10.0) is not None
 
@@ -167,10 +167,10 @@
             now_s = 10.0 + 20 * round_number
             entries.crash(2 * round_number, {0: [GOOD]}, now_s)
             entries.crash(2 * round_number + 1, {1: [GOOD]}, now_s + 1)
-            entries.quarantines[1].note_answered(GOOD, now_s + 2)
+            entries.quarantines[1].record_answered(GOOD, now_s + 2)
             entries.exchange(now_s + 2)
         assert not any(entries.quarantined(GOOD, 300.0))
-        assert entries.quarantines[0].crashes_under(GOOD, 300.0) == 0
+        assert entries.quarantines[0].crash_count(GOOD, 300.0) == 0
 
     def test_popular_body_is_not_quarantined_after_the_loss_of_a_rack(self):
         """Many callers send the same body, so that it runs on every server, and four servers fail
@@ -178,7 +178,7 @@
         answered all day."""
         entries = Entries(3)
         for quarantine in entries.quarantines[:2]:
-            quarantine.note_answered(GOOD, 9.0)
+            quarantine.record_answered(GOOD, 9.0)
         for server in range(4):
             entries.crash(100 + server, {server % 3: [GOOD]}, 10.0 + server * 0.05)
         entries.exchange(10.5)
@@ -189,9 +189,9 @@
         peer has, and their datagrams cross. Guards against keeping the verdict at either of
         them."""
         first, second = Quarantine(), Quarantine()
-        second.note_answered(GOOD, 9.0)
+        second.record_answered(GOOD, 9.0)
         for server in range(3):
-            first.note_crash(GOOD, server, 10.0, is_own=True)
+            first.record_crash(GOOD, server, 10.0, is_own=True)
         assert first.verdict(GOOD, 10.0) is not None
         second.apply(first.news(10.1, is_full=False), 10.1)
         first.apply(second.news(10.2, is_full=False), 10.2)
@@ -201,18 +201,18 @@
 
     def test_verdict_received_before_its_crashes_is_refuted_by_them(self):
         quarantine = Quarantine()
-        quarantine.note_answered(GOOD, 9.0)
+        quarantine.record_answered(GOOD, 9.0)
         assert quarantine.apply_verdict(VerdictReport(GOOD, 600.0, 3), 10.1) is not None
         for server in range(3):
-            quarantine.note_crash(GOOD, server, 10.2, age_s=0.2, is_own=False)
+            quarantine.record_crash(GOOD, server, 10.2, age_s=0.2, is_own=False)
         assert quarantine.verdict(GOOD, 10.2) is None
 
     def test_body_that_becomes_harmful_is_quarantined_despite_earlier_answers(self):
         """A new server version crashes while running a request that the old version answered."""
         quarantine = Quarantine()
-        quarantine.note_answered(HARMFUL, 9.0)
+        quarantine.record_answered(HARMFUL, 9.0)
         for number in range(CRASHES_FOR_VERDICT):
-            quarantine.note_crash(HARMFUL, number, 10.0 + 1.5 * number, is_own=True)
+            quarantine.record_crash(HARMFUL, number, 10.0 + 1.5 * number, is_own=True)
         assert quarantine.verdict(HARMFUL, 14.0) is not None
 
     def test_few_good_requests_are_quarantined_in_a_busy_fleet(self):
@@ -234,10 +234,10 @@
                 if quarantine.verdict(harmful, now_s):
                     continue
                 crashed = draw.randrange(14)
-                quarantine.note_crash(harmful, step, now_s, is_own=True)
+                quarantine.record_crash(harmful, step, now_s, is_own=True)
                 for one in [one for one in running if one.server == crashed]:
                     running.remove(one)
-                    quarantine.note_crash(one.fingerprint, step, now_s, is_own=True)
+                    quarantine.record_crash(one.fingerprint, step, now_s, is_own=True)
                     involved_requests.add(one.fingerprint)
                     if one.tries < 3:
                         server = draw.randrange(14)
@@ -257,7 +257,7 @@
         """Return a quarantine with one verdict, given at 10 s."""
         quarantine = Quarantine()
         for server in range(CRASHES_FOR_VERDICT):
-            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.record_crash(HARMFUL, server, 10.0, is_own=True)
         return quarantine
 
     def test_expires_and_returns_after_one_more_crash(self):
@@ -267,19 +267,19 @@
         assert quarantine.verdict(HARMFUL, end_s) is None
         (ended,) = quarantine.forget_old(end_s)
         assert ended.verdict.fingerprint == HARMFUL
-        assert quarantine.note_crash(HARMFUL, 50, end_s + 5.0, is_own=True) is not None
+        assert quarantine.record_crash(HARMFUL, 50, end_s + 5.0, is_own=True) is not None
 
     def test_returns_after_a_crash_right_at_expiry(self):
         """The verdict has expired but hasn't been queried since."""
         quarantine = self.quarantined()
-        assert quarantine.note_crash(HARMFUL, 50, 10.0 + QUARANTINE_S, is_own=True) is not None
+        assert quarantine.record_crash(HARMFUL, 50, 10.0 + QUARANTINE_S, is_own=True) is not None
 
     def test_answer_ends_it_permanently(self):
         """An attempt that was in progress at the verdict is answered, so the verdict was wrong."""
         quarantine = self.quarantined()
-        assert quarantine.note_answered(HARMFUL, 12.0)
+        assert quarantine.record_answered(HARMFUL, 12.0)
         assert quarantine.verdict(HARMFUL, 12.0) is None
-        assert quarantine.note_crash(HARMFUL, 50, 13.0, is_own=True) is None
+        assert quarantine.record_crash(HARMFUL, 50, 13.0, is_own=True) is None
 
     def test_lifted_verdict_is_not_accepted_again_from_a_peer(self):
         quarantine = self.quarantined()
@@ -306,20 +306,18 @@
         quarantine = Quarantine()
         for number in range(5000):
             now_s = 10.0 + number * 0.01
-            quarantine.note_crash(number, 2 * number, now_s, is_own=True)
-            quarantine.note_crash(number, 2 * number + 1, now_s, is_own=True)
-            quarantine.note_answered(1_000_000 + number, now_s)
+            quarantine.record_crash(number, 2 * number, now_s, is_own=True)
+            quarantine.record_crash(number, 2 * number + 1, now_s, is_own=True)
+            quarantine.record_answered(1_000_000 + number, now_s)
         news = quarantine.news(now_s, is_full=True)
         assert len(news.crashes) == MAX_CRASHES_SENT
-        assert (
-            sum(quarantine.crashes_under(number, now_s) > 0 for number in range(5000)) <= MAX_CASES
-        )
+        assert sum(quarantine.crash_count(number, now_s) > 0 for number in range(5000)) <= MAX_CASES
 
     def test_number_of_verdicts_and_verdicts_sent_is_bounded(self):
         quarantine = Quarantine()
         for number in range(2 * MAX_VERDICTS):
             for server in range(CRASHES_FOR_VERDICT):
-                quarantine.note_crash(number, 10 * number + server, 10.0 + number, is_own=True)
+                quarantine.record_crash(number, 10 * number + server, 10.0 + number, is_own=True)
         assert len(quarantine) == MAX_VERDICTS
         news = quarantine.news(10.0 + 2 * MAX_VERDICTS, is_full=True)
         assert len(news.verdicts) == MAX_VERDICTS_SENT
@@ -328,20 +326,20 @@
     def test_requests_with_most_crashes_are_evicted_last(self):
         quarantine = Quarantine()
         for server in (1, 2):
-            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True)
+            quarantine.record_crash(HARMFUL, server, 10.0, is_own=True)
         for number in range(3 * MAX_CASES):
-            quarantine.note_crash(100 + number, 1000 + number, 11.0, is_own=True)
-        assert quarantine.note_crash(HARMFUL, 3, 12.0, is_own=True) is not None
+            quarantine.record_crash(100 + number, 1000 + number, 11.0, is_own=True)
+        assert quarantine.record_crash(HARMFUL, 3, 12.0, is_own=True) is not None
 
     def test_nothing_is_sent_without_crashes(self):
         quarantine = Quarantine()
         for number in range(100):
-            quarantine.note_answered(number, 10.0)
+            quarantine.record_answered(number, 10.0)
         assert quarantine.news(10.0, is_full=True) is EMPTY_REPORT
 
     def test_old_crashes_are_not_sent_and_then_removed(self):
         quarantine = Quarantine()
-        quarantine.note_crash(OTHER, 1, 10.0, is_own=True)
+        quarantine.record_crash(OTHER, 1, 10.0, is_own=True)
         assert quarantine.news(10.1, is_full=False).crashes
         assert not quarantine.news(12.0, is_full=False).crashes
         assert quarantine.news(12.0, is_full=True).crashes
@@ -356,7 +354,7 @@
     def presumed(self, quarantine: Quarantine, now_s: float) -> list[float]:
         """Record three presumed crashes; return the duration of each resulting verdict."""
         found = [
-            quarantine.note_crash(HARMFUL, server, now_s, is_own=True, is_presumed=True)
+            quarantine.record_crash(HARMFUL, server, now_s, is_own=True, is_presumed=True)
             for server in (100, 101, 102)
         ]
         return [verdict.until_s - now_s for verdict in found if verdict is not None]
@@ -367,8 +365,8 @@
         assert self.presumed(quarantine, 10.0) == [PRESUMED_CRASH_KEPT_S]
         assert quarantine.verdict(HARMFUL, 14.9) is not None
         assert quarantine.verdict(HARMFUL, 15.0) is None
-        assert quarantine.crashes_under(HARMFUL, 15.0) == 0
-        assert quarantine.note_crash(HARMFUL, 103, 16.0, is_own=True) is None
+        assert quarantine.crash_count(HARMFUL, 15.0) == 0
+        assert quarantine.record_crash(HARMFUL, 103, 16.0, is_own=True) is None
 
     @pytest.mark.parametrize("confirmed_s", [12.0, 17.0])
     def test_lead_to_a_full_verdict_when_confirmed(self, confirmed_s):
@@ -376,9 +374,10 @@
         self.presumed(quarantine, 10.0)
         for server in (100, 101):
             assert (
-                quarantine.note_crash(HARMFUL, server, confirmed_s, age_s=2.0, is_own=True) is None
+                quarantine.record_crash(HARMFUL, server, confirmed_s, age_s=2.0, is_own=True)
+                is None
             )
-        verdict = quarantine.note_crash(HARMFUL, 102, confirmed_s, age_s=2.0, is_own=True)
+        verdict = quarantine.record_crash(HARMFUL, 102, confirmed_s, age_s=2.0, is_own=True)
         assert verdict.until_s == confirmed_s + QUARANTINE_S
         assert not quarantine.verdict(HARMFUL, confirmed_s).is_presumed
 
@@ -391,7 +390,7 @@
         (verdict,) = peer.apply(news, 10.1)
         assert verdict.is_presumed
         for server in (100, 101, 102):
-            quarantine.note_crash(HARMFUL, server, 12.0, is_own=True)
+            quarantine.record_crash(HARMFUL, server, 12.0, is_own=True)
         peer.apply(quarantine.news(12.1, is_full=False), 12.1)
         assert not peer.verdict(HARMFUL, 12.1).is_presumed
 
@@ -399,6 +398,6 @@
         """Guards against lifting a verdict because of a crash that may not have happened."""
         quarantine = Quarantine()
         for server in (200, 201, 202):
-            quarantine.note_crash(GOOD, server, 10.0, is_own=True)
-            quarantine.note_crash(HARMFUL, server, 10.0, is_own=True, is_presumed=True)
+            quarantine.record_crash(GOOD, server, 10.0, is_own=True)
+            quarantine.record_crash(HARMFUL, server, 10.0, is_own=True, is_presumed=True)
         assert quarantine.verdict(GOOD, 11.5) is not None
--- a/packages/proxy/tests/test_rate_shares.py
+++ b/packages/proxy/tests/test_rate_limit_sharing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sassafrastally.proxy.rate_shares import (
+from sassafrastally.proxy.rate_limit_sharing import (
     MIN_LIMIT_PER_S,
     RetrySchedule,
     SentRequests,
@@ -51,12 +51,12 @@
         for step in range(int((end_s - begin_s) / STEP_S)):
             now_s = begin_s + step * STEP_S
             for host, share in shares.items():
-                while self.sent[host].room_in_s(share, now_s) <= 0:
+                while self.sent[host].wait_s(share, now_s) <= 0:
                     self.send(host, now_s)
 
     def send(self, host: str, now_s: float) -> None:
         """Let an entry send a request."""
-        self.sent[host].note(now_s)
+        self.sent[host].record(now_s)
         self.sent_s.append(now_s)
 
 
@@ -116,8 +116,8 @@
         """Guards against one entry sending the requests of several seconds at once."""
         sent = SentRequests()
         for _ in range(10):
-            sent.note(0.0)
-        assert sent.room_in_s(10.0, 0.0) == pytest.approx(1.0)
+            sent.record(0.0)
+        assert sent.wait_s(10.0, 0.0) == pytest.approx(1.0)
 
 
 class TestRetrySchedule:
@@ -147,13 +147,13 @@
             now_s = step * 0.01
             while retry_at_s and retry_at_s[0] <= now_s:
                 retry_at_s.pop(0)
-                if sent.room_in_s(share, now_s) <= 0:
-                    sent.note(now_s)
+                if sent.wait_s(share, now_s) <= 0:
+                    sent.record(now_s)
                     accepted += 1
                 else:
                     rejected += 1
             if draw.random() < 0.1:
-                back_s = times.next_retry_s("s", sent.room_in_s(share, now_s), 4.0, WINDOW_S, now_s)
+                back_s = times.next_retry_s("s", sent.wait_s(share, now_s), 4.0, WINDOW_S, now_s)
                 if back_s < WINDOW_S:
                     retry_at_s = sorted([*retry_at_s, now_s + back_s + 0.001])
         assert accepted > 0.9 * (accepted + rejected)
--- a/packages/proxy/tests/test_apart.py
+++ b/packages/proxy/tests/test_suspect_placement.py
@@ -5,10 +5,10 @@
 import random
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.apart import MAX_ASSIGNED_REQUESTS, dealt_server
 from sassafrastally.proxy.lanes import ServerView
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.model import BackendServer
+from sassafrastally.proxy.suspect_placement import MAX_ASSIGNED_REQUESTS, assigned_servers
 
 
 def view(number: int, suspects: int = 0) -> ServerView:
@@ -19,7 +19,7 @@
 
 def assigned_server(views, fingerprint: int, others) -> str:
     """Return the id of the server that a request is assigned to."""
-    (found,) = dealt_server(views, fingerprint, crash_counts(fingerprint, *others))
+    (found,) = assigned_servers(views, fingerprint, crash_counts(fingerprint, *others))
     return found.server.server_id
 
 
@@ -58,16 +58,16 @@
         views = [view(number) for number in range(3)]
         suspects_on_server = list(range(10))
         found = [
-            dealt_server(views, one, crash_counts(*suspects_on_server))
+            assigned_servers(views, one, crash_counts(*suspects_on_server))
             for one in suspects_on_server
         ]
         assert [len(one) for one in found] == [1, 1, 1] + [3] * 7
-        assert dealt_server([], 1, crash_counts(1)) == []
+        assert assigned_servers([], 1, crash_counts(1)) == []
 
     def test_number_of_assigned_requests_is_bounded(self):
         views = [view(number) for number in range(40)]
         suspects = crash_counts(1 << 64, *range(MAX_ASSIGNED_REQUESTS * 100))
-        assert len(dealt_server(views, 1 << 64, suspects)) == 1
+        assert len(assigned_servers(views, 1 << 64, suspects)) == 1
 
     def test_two_requests_with_two_shared_crashes_are_separated_on_few_servers(self):
         """Guards against a harmless request sharing a third crash with the harmful one: both would
@@ -78,7 +78,7 @@
             suspects = crash_counts(*others) | crash_counts(first, second, crashes=2)
             # Entries differ in which servers they know to run suspect requests.
             found = [
-                dealt_server([view(n, draw.randrange(2)) for n in range(3)], one, suspects)
+                assigned_servers([view(n, draw.randrange(2)) for n in range(3)], one, suspects)
                 for one in (first, second, *others)
             ]
             servers = [{view.server.server_id for view in views} for views in found]
--- a/packages/testing/src/sassafrastally/testing/experiment/variants.py
+++ b/packages/testing/src/sassafrastally/testing/experiment/variants.py
@@ -27,7 +27,7 @@
 @MECHANISMS.register("apart")
 def _no_dealing(stack: ExitStack) -> None:
     stack.enter_context(
-        patch.object(request_handler, "dealt_server", lambda views, *_: list(views))
+        patch.object(request_handler, "assigned_servers", lambda views, *_: list(views))
     )
 
 
@@ -38,12 +38,14 @@
 
 @MECHANISMS.register("backpressure")
 def _no_backpressure(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(Backpressure, "rooms_s", lambda *_: {}))
+    stack.enter_context(patch.object(Backpressure, "waits_s", lambda *_: {}))
 
 
 @MECHANISMS.register("near-first")
 def _no_near_first(stack: ExitStack) -> None:
-    stack.enter_context(patch.object(streaming_request, "stays_near", lambda *_: False))
+    stack.enter_context(
+        patch.object(streaming_request, "fits_in_local_data_centre", lambda *_: False)
+    )
 
 
 def variant_problems(
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -16,12 +16,12 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.lanes import Scatter, ServerView, lane_of
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView, choose_lane
 from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work, merge_work, server_hash
 from sassafrastally.proxy.model import BackendServer, Route, RouteKind
 from sassafrastally.proxy.placement import place_request
 from sassafrastally.proxy.prefill_limits import prefill_limits_for
-from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
+from sassafrastally.proxy.rate_limit_sharing import SentRequests, own_share_per_s
 from sassafrastally.proxy.streaming_request import (
     CALLER_TIMEOUT_GOALS,
     CALLER_TIMEOUT_PAUSES,
@@ -30,7 +30,7 @@
     MAX_FIRST_EVENT_TIMEOUT_SHARE,
     SILENCE_TIMEOUT_SHARE,
 )
-from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
+from sassafrastally.proxy.turning_away import retry_delay_s, would_miss_deadline
 from sassafrastally.stand_ins.passing_engine import Full, PassingEngine
 from sassafrastally.testing.load_arrivals import Arrival, Deployment, Kind
 
@@ -183,10 +183,10 @@
                 entry = self._draw.choice(self._entries)
                 asked = _Asked(self, entry, arrival, end_s)
                 outcome = (await asked.run())._replace(refusals=outcome.refusals)
-                if asked.come_back_after_s is None:
+                if asked.retry_delay_s is None:
                     break
                 outcome = outcome._replace(refusals=outcome.refusals + 1)
-                await trio.sleep(min(asked.come_back_after_s, arrival.kind.patience_s / 3))
+                await trio.sleep(min(asked.retry_delay_s, arrival.kind.patience_s / 3))
         self.outcomes.append(outcome)
 
     def place(self, entry: _Entry, arrival: Arrival, tried: set[str]) -> Placement | None:
@@ -199,7 +199,7 @@
             arrival.kind.goal_s,
             self._profile,
             self._limits,
-            Scatter(entry.random, self._deployment.news_gap_s + DATAGRAM_LATENCY_S),
+            PlacementRandomizer(entry.random, self._deployment.news_gap_s + DATAGRAM_LATENCY_S),
         )
 
     def views(self, entry: _Entry, tried: set[str]) -> list[ServerView]:
@@ -221,7 +221,7 @@
         now_s = trio.current_time()
         for incarnation_id in (server.incarnation_id for server in servers):
             if incarnation_id in self._most_per_s:
-                entry.sent.setdefault(incarnation_id, SentRequests()).note(now_s)
+                entry.sent.setdefault(incarnation_id, SentRequests()).record(now_s)
                 self.sent_s[incarnation_id].append(now_s - self._begin_s)
 
     def _has_room(self, entry: _Entry, incarnation_id: str) -> bool:
@@ -233,7 +233,7 @@
             incarnation_id, self._most_per_s[incarnation_id], own, list(names.values())
         )
         sent = entry.sent.setdefault(incarnation_id, SentRequests())
-        return sent.room_in_s(share_per_s, trio.current_time()) <= 0
+        return sent.wait_s(share_per_s, trio.current_time()) <= 0
 
     def goals(self, arrival: Arrival) -> Goals:
         """Return the goals that decide whether a request may begin."""
@@ -242,7 +242,7 @@
     def lane(self, arrival: Arrival) -> Lane:
         """Return the lane of a request."""
         route = self._routes[arrival.kind.name]
-        return lane_of(route, arrival.prompt, self._profile, self._limits)
+        return choose_lane(route, arrival.prompt, self._profile, self._limits)
 
     def engine(self, incarnation_id: str) -> PassingEngine:
         """Return an engine by its server's incarnation."""
@@ -253,7 +253,7 @@
     """One time that a caller asks an entry."""
 
     def __init__(self, replay: LoadReplay, entry: _Entry, arrival: Arrival, end_s: float) -> None:
-        self.come_back_after_s: float | None = None
+        self.retry_delay_s: float | None = None
         """When the caller is to come back, if it was turned away."""
         self._replay = replay
         self._entry = entry
@@ -272,7 +272,7 @@
             if placement is None or not self._may_begin(placement, is_new=attempt == 0):
                 if attempt == 0:
                     left_s = self._end_s - trio.current_time()
-                    self.come_back_after_s = come_back_after_s(left_s, self._entry.random.random())
+                    self.retry_delay_s = retry_delay_s(left_s, self._entry.random.random())
                 break
             predicted_s = placement.predicted_s
             tried.add(placement.server.incarnation_id)
@@ -286,7 +286,7 @@
         if is_new and overload_reason(placement, self._replay.goals(self._arrival)):
             return False
         left_s = self._end_s - trio.current_time()
-        return not is_hopeless(placement.predicted_s, self._patience_s(), left_s)
+        return not would_miss_deadline(placement.predicted_s, self._patience_s(), left_s)
 
     def _patience_s(self) -> float:
         kind = self._arrival.kind
--- a/packages/testing/src/sassafrastally/testing/placement_cases.py
+++ b/packages/testing/src/sassafrastally/testing/placement_cases.py
@@ -5,7 +5,7 @@
 import random
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.lanes import Scatter, ServerView
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.model import (
     BackendServer,
@@ -30,7 +30,7 @@
     distributed_step_overhead_ms=0.1,
 )
 
-ALONE = Scatter(random.Random(1))
+ALONE = PlacementRandomizer(random.Random(1))
 """An entry that sees all requests."""
 
 LIMITS = PrefillLimits(
--- a/packages/testing/tests/platform/test_engines_in_trouble.py
+++ b/packages/testing/tests/platform/test_engines_in_trouble.py
@@ -59,7 +59,7 @@
                 nursery.start_soon(partial(small_fleet.call, path, prompt="1000,340"))
         unfinished = [arrival for arrival in small_fleet.arrivals() if arrival.finished_s is None]
         assert len(unfinished) >= 4
-        assert fleet_view.suspicion.suspects(kernel.clock.now_s()) == {}
+        assert fleet_view.outlier_ejection.suspects(kernel.clock.now_s()) == {}
 
     async def test_engine_without_reports_is_suspected_before_it_gets_a_request(self, small_fleet):
         """Guards against detecting an unresponsive engine only by requests.
@@ -69,7 +69,9 @@
         kernel = small_fleet.kernels[0]
         fleet_view = kernel.get("sight", FleetView)
         small_fleet.replicas["engine-1"].ignores_report_calls = True
-        await until(lambda: "engine-1" in fleet_view.suspicion.suspects(kernel.clock.now_s()), 5.0)
+        await until(
+            lambda: "engine-1" in fleet_view.outlier_ejection.suspects(kernel.clock.now_s()), 5.0
+        )
         await small_fleet.call("/note/x", prompt="1000,34")
         assert not small_fleet.replicas["engine-1"].seen
 
@@ -86,7 +88,7 @@
             return sum(record["name"] == "ReportFailed" for record in kernel.events.records())
 
         await until(lambda: failures() >= 5, 9.0)
-        assert kernel.get("sight", FleetView).suspicion.suspects(kernel.clock.now_s()) == {}
+        assert kernel.get("sight", FleetView).outlier_ejection.suspects(kernel.clock.now_s()) == {}
 
 
 class TestSlowHelpers:
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -8,15 +8,15 @@
 import trio
 
 from sassafrastally.platform.adapter import PlatformDialect
-from sassafrastally.proxy import internal_endpoints, pool
+from sassafrastally.proxy import connection_pool, internal_endpoints
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.daemon import make_kernel
 from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.load import InFlightAttempt, Lane
+from sassafrastally.proxy.load_exchange import link_rank
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peer_messages import encode_delta
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.sharing import link_rank
 from sassafrastally.stand_ins.documents import make_configuration, make_route
 from sassafrastally.stand_ins.platform_fleet import until
 from sassafrastally.stand_ins.requests import exchange_on, request_fields
@@ -71,7 +71,9 @@
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
         await until(lambda: second.get("peers", Peers).live_count() == 1)
         dead = first.get("beliefs", ClusterState).server("engine-1")
-        first.get("sight", FleetView).note_failure(dead, "nobody answers", "r", is_clear=True)
+        first.get("sight", FleetView).record_failure(
+            dead, "nobody answers", "r", is_conclusive=True
+        )
         fleet_view = second.get("sight", FleetView)
         await until(lambda: len(fleet_view.views("engines", set())) == 1)
 
@@ -233,7 +235,7 @@
         await until(lambda: cluster_state.server("engine-1").born_ms is not None)
         previous = cluster_state.server("engine-1")
         for _ in range(4):
-            fleet_view.note_failure(previous, "nobody answers", "r", is_clear=True)
+            fleet_view.record_failure(previous, "nobody answers", "r", is_conclusive=True)
         fleet_view.ledger.add(
             InFlightAttempt(previous.incarnation_id, Lane.SHORT, {previous.incarnation_id: 9_000}),
             0.0,
@@ -277,7 +279,7 @@
         previous = cluster_state.server("desk-1")
         self.restart(small_fleet, "desk-1")
         await until(lambda: cluster_state.server("desk-1") != previous)
-        assert await connections.take(cluster_state.server("desk-1")) is None
+        assert await connections.acquire(cluster_state.server("desk-1")) is None
 
 
 class TestStoreCalls:
@@ -372,18 +374,18 @@
         Idle connections to removed servers would stay open until the entry runs out of file
         descriptors and refuses callers.
         """
-        monkeypatch.setattr(pool, "IDLE_TIME_S", 0.1)
+        monkeypatch.setattr(connection_pool, "IDLE_TIME_S", 0.1)
         kernel = small_fleet.kernels[0]
         path = kernel.get("path", RequestPath)
         for number in (1, 2):
             await small_fleet.call("/look/x")
             desk = kernel.get("beliefs", ClusterState).server(f"desk-{number}")
-            path.services.fleet_view.note_failure(desk, "nobody answers", "r", is_clear=True)
+            path.services.fleet_view.record_failure(desk, "nobody answers", "r", is_conclusive=True)
         assert path.services.attempt_sender.pool.idle_count() > 0
         for number in (1, 2):
             small_fleet.store.remove(f"servers/desk-{number}")
         await until(lambda: path.services.attempt_sender.pool.idle_count() == 0, 7.0)
-        await until(lambda: not path.services.fleet_view.suspicion.suspects(0.0), 1.0)
+        await until(lambda: not path.services.fleet_view.outlier_ejection.suspects(0.0), 1.0)
 
 
 class TestShutdown:
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -222,7 +222,7 @@
 
         async def leave(replica) -> None:
             server = cluster_state.server(replica.server_id)
-            backpressure.note_answer(server, BackpressureSignals(is_leaving=True))
+            backpressure.record_answer(server, BackpressureSignals(is_leaving=True))
             replica.crash()
 
         await self.send_while(fleet, leave)
