--- a/packages/proxy/benchmarks/quarantine.py
+++ b/packages/proxy/benchmarks/quarantine.py
@@ -39,18 +39,18 @@
     calm = Quarantine()
     print(f"calm: verdict {median_us(lambda: calm.verdict(7, 1.0), 20_000):.2f} us, ", end="")
     print(f"answer {median_us(lambda: calm.record_answered(7, 1.0), 20_000):.2f} us, ", end="")
-    print(f"news {median_us(lambda: calm.news(1.0, is_full=False), 20_000):.2f} us")
+    print(f"news {median_us(lambda: calm.report(1.0, is_full=False), 20_000):.2f} us")
     tracemalloc.start()
     quarantine = quarantine_at_limits()
     kept_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
     print(f"full: {len(quarantine)} verdicts, {kept_kb:.0f} KB, ", end="")
     print(f"verdict {median_us(lambda: quarantine.verdict(7, 40.0), 2_000):.1f} us, ", end="")
-    print(f"news {median_us(lambda: quarantine.news(40.2, is_full=False), 200):.0f} us, ", end="")
-    print(f"told again {median_us(lambda: quarantine.news(41.0, is_full=True), 200):.0f} us")
-    news = quarantine.news(40.2, is_full=True)
+    print(f"news {median_us(lambda: quarantine.report(40.2, is_full=False), 200):.0f} us, ", end="")
+    print(f"told again {median_us(lambda: quarantine.report(41.0, is_full=True), 200):.0f} us")
+    report = quarantine.report(40.2, is_full=True)
     hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, {}, (), {}, {}, 0.0, 0.0, "here", 10)
-    sizes = [len(encode_hello(one)) for one in (hello, hello._replace(quarantine=news))]
+    sizes = [len(encode_hello(one)) for one in (hello, hello._replace(quarantine=report))]
     print(f"datagram: {sizes[0]} bytes without, {sizes[1]} with all that fits")
 
 
--- a/packages/proxy/src/sassafrastally/proxy/backpressure.py
+++ b/packages/proxy/src/sassafrastally/proxy/backpressure.py
@@ -173,9 +173,9 @@
         """Return the limits to send to peers, the latest first."""
         return self._limits.limits_to_send(self._now_s)
 
-    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
+    def apply(self, limits: Mapping[int, LimitReport], host: str) -> None:
         """Record the limits that a peer has reported."""
-        for key, limit in news.items():
+        for key, limit in limits.items():
             change = self._limits.record_peer_limit(key, limit, self._now_s)
             self._note_change(key, change, host)
 
--- a/packages/proxy/src/sassafrastally/proxy/crash_records.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_records.py
@@ -68,7 +68,7 @@
         crashes."""
         self._answered_s: dict[int, float] = {}
         """Latest answer received by any entry to requests with crashes, by fingerprint."""
-        self._latest_news_s = NEVER_S
+        self._latest_change_s = NEVER_S
 
     def __contains__(self, fingerprint: int) -> bool:
         return fingerprint in self._crashes
@@ -198,7 +198,7 @@
         includes_peers
             Whether to include crashes received from peers.
         """
-        if now_s - self._latest_news_s >= max_age_s:
+        if now_s - self._latest_change_s >= max_age_s:
             return ()
         found = [
             (
@@ -210,13 +210,13 @@
             for server, crash in known.items()
             if now_s - crash.received_s < max_age_s and (crash.is_own or includes_peers)
         ]
-        return tuple(news for _, _, news in sorted(found, reverse=True)[:MAX_CRASHES_SENT])
+        return tuple(report for _, _, report in sorted(found, reverse=True)[:MAX_CRASHES_SENT])
 
     def answers_to_send(
         self, now_s: float, max_age_s: float, *, includes_peers: bool
     ) -> tuple[AnswerReport, ...]:
         """Return the answers to send, the latest first; parameters as for `crashes_to_send`."""
-        if now_s - self._latest_news_s >= max_age_s:
+        if now_s - self._latest_change_s >= max_age_s:
             return ()
         found = [
             AnswerReport(fingerprint, now_s - at_s)
@@ -224,7 +224,7 @@
             if (includes_peers or fingerprint in self._own_answered_s)
             and now_s - self._latest_s(fingerprint, at_s) < max_age_s
         ]
-        return tuple(sorted(found, key=lambda news: news.age_s)[:MAX_ANSWERS_SENT])
+        return tuple(sorted(found, key=lambda report: report.age_s)[:MAX_ANSWERS_SENT])
 
     def _latest_s(self, fingerprint: int, answered_s: float) -> float:
         """Return the time of the latest answer, or when a crash was last learned of."""
@@ -233,7 +233,7 @@
 
     def _record_change(self, received_s: float) -> None:
         self.version += 1
-        self._latest_news_s = max(self._latest_news_s, received_s)
+        self._latest_change_s = max(self._latest_change_s, received_s)
 
     def _forget(self, fingerprint: int) -> None:
         del self._crashes[fingerprint]
--- a/packages/proxy/src/sassafrastally/proxy/lanes.py
+++ b/packages/proxy/src/sassafrastally/proxy/lanes.py
@@ -92,7 +92,7 @@
 
     Parameters
     ----------
-    views, profile, scatter
+    views, profile, randomizer
         As for `split_lanes`.
     """
     centres: dict[str, list[ServerView]] = {}
--- a/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
@@ -15,7 +15,7 @@
 
     from sassafrastally.proxy.load import Work
 
-NEWS_AGE_S = 1.0
+MAX_FRESH_AGE_S = 1.0
 """Age above which the view of the servers may miss one that is leaving; a watch returns at least
 once per second."""
 
@@ -47,7 +47,7 @@
         Age of the view of the servers.
     """
     is_loaded = work.requests + work.prefill_requests >= FULL_SHARE * slots
-    return update_age_s > NEWS_AGE_S and not is_loaded
+    return update_age_s > MAX_FRESH_AGE_S and not is_loaded
 
 
 class LeavingServers:
--- a/packages/proxy/src/sassafrastally/proxy/limit_exchange.py
+++ b/packages/proxy/src/sassafrastally/proxy/limit_exchange.py
@@ -23,7 +23,7 @@
         """Return the limits to send, by hash of the server's incarnation, the latest first."""
         ...
 
-    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
+    def apply(self, limits: Mapping[int, LimitReport], host: str) -> None:
         """Apply the limits received from a peer."""
         ...
 
@@ -35,5 +35,5 @@
         """Return no limits."""
         return {}
 
-    def apply(self, news: Mapping[int, LimitReport], host: str) -> None:
+    def apply(self, limits: Mapping[int, LimitReport], host: str) -> None:
         """Ignore received limits."""
--- a/packages/proxy/src/sassafrastally/proxy/peer_messages.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_messages.py
@@ -176,7 +176,8 @@
             for answer in hello.quarantine.answers
         ],
         limits=[
-            _encode_limit(key, news) for key, news in list(hello.limits.items())[:MAX_LIMITS_SENT]
+            _encode_limit(key, report)
+            for key, report in list(hello.limits.items())[:MAX_LIMITS_SENT]
         ],
     )
     data: bytes = message.to_bytes_packed()
@@ -230,12 +231,12 @@
     )
 
 
-def _encode_limit(key: int, news: LimitReport) -> dict[str, int | bool]:
+def _encode_limit(key: int, report: LimitReport) -> dict[str, int | bool]:
     return {
         "server": key,
-        "milliPerSecond": _to_thousandths(news.most_per_s or 0.0),
-        "isEnded": news.most_per_s is None,
-        "ageMs": _to_thousandths(news.age_s),
+        "milliPerSecond": _to_thousandths(report.most_per_s or 0.0),
+        "isEnded": report.most_per_s is None,
+        "ageMs": _to_thousandths(report.age_s),
     }
 
 
--- a/packages/proxy/src/sassafrastally/proxy/peer_table.py
+++ b/packages/proxy/src/sassafrastally/proxy/peer_table.py
@@ -241,8 +241,8 @@
 
     def is_relay(self, now_s: float) -> bool:
         """Return whether this entry sends the sum of its data centre."""
-        near = map(_member, self.local_peers(now_s))
-        return self.has_relay(now_s) and is_ranked_first(self._own, near, RELAYS)
+        local = map(_member, self.local_peers(now_s))
+        return self.has_relay(now_s) and is_ranked_first(self._own, local, RELAYS)
 
     def has_known_peers(self) -> bool:
         """Return whether the address of another entry is known."""
--- a/packages/proxy/src/sassafrastally/proxy/peers.py
+++ b/packages/proxy/src/sassafrastally/proxy/peers.py
@@ -83,7 +83,7 @@
         self._is_stopping = False
         self._peers_listed_s = float("-inf")
         self._listed_peers: set[str] = set()
-        self._news_repeated_s = float("-inf")
+        self._reports_repeated_s = float("-inf")
         self._sum_changed = trio.Event()
         self.own_suspects: Callable[[], dict[int, float]] = dict
         """Returns the servers that this entry suspects: remaining seconds by hash of the id."""
@@ -301,8 +301,8 @@
         sent_loads: Mapping[int, Work] = {}
         while True:
             seen, urgent_seen = self._ledger.change_count, self._ledger.urgent_count
-            news = self.quarantine.own_report(is_full=self._start_repeat_if_due())
-            own = self.hello()._replace(peers=self._peers_to_list(), quarantine=news)
+            report = self.quarantine.own_report(is_full=self._start_repeat_if_due())
+            own = self.hello()._replace(peers=self._peers_to_list(), quarantine=report)
             await self._send_to(self._table.receivers(self._now_s).own_state_receivers, own)
             self._wake_sums_for_prefill(sent_loads, own.loads)
             sent_loads = own.loads
@@ -327,8 +327,8 @@
                 is_full = now_s - listed_s >= FULL_DATAGRAM_INTERVAL_S
                 if is_full:
                     listed_s = now_s
-                    near = (peer.host for peer in self._table.local_peers(now_s))
-                    message = message._replace(peers=(self._settings.host, *near))
+                    local = (peer.host for peer in self._table.local_peers(now_s))
+                    message = message._replace(peers=(self._settings.host, *local))
                 message = message._replace(
                     quarantine=self.quarantine.combined_report(is_full=is_full)
                 )
@@ -369,9 +369,9 @@
 
     def _start_repeat_if_due(self) -> bool:
         """Return whether the next datagram repeats older news; if so, restart the interval."""
-        is_due = self._now_s - self._news_repeated_s >= FULL_DATAGRAM_INTERVAL_S
+        is_due = self._now_s - self._reports_repeated_s >= FULL_DATAGRAM_INTERVAL_S
         if is_due:
-            self._news_repeated_s = self._now_s
+            self._reports_repeated_s = self._now_s
         return is_due
 
     async def _forget_old(self) -> None:
--- a/packages/proxy/src/sassafrastally/proxy/placement.py
+++ b/packages/proxy/src/sassafrastally/proxy/placement.py
@@ -48,7 +48,7 @@
     ----------
     views
         The engines, in the order that all entries use.
-    lane, prompt, goal_s, profile, limits, scatter
+    lane, prompt, goal_s, profile, limits, randomizer
         As for `place_prompt`.
     by_centre
         Whether the engines of each data centre are split into lanes separately.
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -36,11 +36,11 @@
 """Retry delay for callers whose request was quarantined less than `VERDICT_SETTLED_S` ago; after
 it, it is known whether other requests explain the crashes."""
 
-NEWS_FRESH_S = 0.5
+REPORTS_FRESH_S = 0.5
 """How long new records are sent with every datagram; an entry that misses these receives them when
 older records are repeated."""
 
-NEWS_REPEATED_S = 30.0
+REPORTS_REPEATED_S = 30.0
 """How long records are repeated periodically, for entries that start or were cut off."""
 
 LIFTED_VERDICT_KEPT_S = 10.0
@@ -216,7 +216,7 @@
             self._end(verdict, now_s)
         return verdict is not None
 
-    def news(
+    def report(
         self, now_s: float, *, is_full: bool, includes_peers: bool = False
     ) -> QuarantineReport:
         """Return the records to send to the peers.
@@ -230,17 +230,17 @@
         includes_peers
             Whether to include records received from peers, on behalf of a data centre.
         """
-        max_age_s = NEWS_REPEATED_S if is_full else NEWS_FRESH_S
-        news = QuarantineReport(
+        max_age_s = REPORTS_REPEATED_S if is_full else REPORTS_FRESH_S
+        report = QuarantineReport(
             self._cases.crashes_to_send(now_s, max_age_s, includes_peers=includes_peers),
             self._verdict_news(now_s, is_full),
             self._cases.answers_to_send(now_s, max_age_s, includes_peers=includes_peers),
         )
-        return news if any(news) else EMPTY_REPORT
+        return report if any(report) else EMPTY_REPORT
 
-    def apply(self, news: QuarantineReport, now_s: float) -> list[Verdict]:
+    def apply(self, report: QuarantineReport, now_s: float) -> list[Verdict]:
         """Apply the records received from a peer; return the new verdicts."""
-        for answer in news.answers:
+        for answer in report.answers:
             self._apply_answer(answer.fingerprint, now_s - answer.age_s, now_s)
         found = [
             self.record_crash(
@@ -251,9 +251,9 @@
                 is_own=False,
                 is_presumed=crash.is_presumed,
             )
-            for crash in news.crashes
+            for crash in report.crashes
         ]
-        found += [self.apply_verdict(received, now_s) for received in news.verdicts]
+        found += [self.apply_verdict(received, now_s) for received in report.verdicts]
         return [verdict for verdict in found if verdict is not None]
 
     def forget_old(self, now_s: float) -> list[Lifted]:
@@ -391,7 +391,7 @@
         found = [
             verdict
             for verdict in self.verdicts(now_s)
-            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < NEWS_FRESH_S)
+            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < REPORTS_FRESH_S)
         ]
         latest = sorted(found, key=lambda verdict: -verdict.since_s)[:MAX_VERDICTS_SENT]
         return tuple(
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_exchange.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_exchange.py
@@ -54,7 +54,7 @@
         """Return all records, those of peers included, on behalf of a data centre."""
         ...
 
-    def apply(self, news: QuarantineReport) -> bool:
+    def apply(self, report: QuarantineReport) -> bool:
         """Apply a peer's records; return whether to forward them to other data centres at once."""
         ...
 
@@ -63,13 +63,13 @@
     """Placeholder until the quarantine has started; sends and records nothing."""
 
     def own_report(self, *, is_full: bool) -> QuarantineReport:
-        """Return no news."""
+        """Return an empty report."""
         return EMPTY_REPORT
 
     def combined_report(self, *, is_full: bool) -> QuarantineReport:
-        """Return no news."""
+        """Return an empty report."""
         return EMPTY_REPORT
 
-    def apply(self, news: QuarantineReport) -> bool:
+    def apply(self, report: QuarantineReport) -> bool:
         """Ignore the records; the peers repeat them."""
         return False
--- a/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
@@ -139,19 +139,19 @@
 
     def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return the records that this entry has made itself."""
-        return self._quarantine.news(self._now_s, is_full=is_full)
+        return self._quarantine.report(self._now_s, is_full=is_full)
 
     def combined_report(self, *, is_full: bool) -> QuarantineReport:
         """Return all records, those of peers included."""
-        return self._quarantine.news(self._now_s, is_full=is_full, includes_peers=True)
+        return self._quarantine.report(self._now_s, is_full=is_full, includes_peers=True)
 
-    def apply(self, news: QuarantineReport) -> bool:
+    def apply(self, report: QuarantineReport) -> bool:
         """Apply a peer's records; return whether any of them is new."""
         before = self._quarantine.version
         quarantined = {verdict.fingerprint for verdict in self._quarantine.verdicts(self._now_s)}
-        for verdict in self._quarantine.apply(news, self._now_s):
+        for verdict in self._quarantine.apply(report, self._now_s):
             self._record_verdict(verdict, "peer", self._peer_verdict_due_s())
-        for answer in news.answers:
+        for answer in report.answers:
             if answer.fingerprint in quarantined and self.verdict(answer.fingerprint) is None:
                 self._record_lifted(answer.fingerprint, "a server answered it for a peer")
         return self._quarantine.version != before
--- a/packages/proxy/src/sassafrastally/proxy/server_limits.py
+++ b/packages/proxy/src/sassafrastally/proxy/server_limits.py
@@ -71,13 +71,13 @@
             return LimitChange.NOTHING
         return self._update(key, most_per_s, now_s)
 
-    def record_peer_limit(self, key: int, news: LimitReport, now_s: float) -> LimitChange:
+    def record_peer_limit(self, key: int, report: LimitReport, now_s: float) -> LimitChange:
         """Record a limit that a peer has reported."""
         known = self._records.get(key)
-        received_s = now_s - news.age_s
+        received_s = now_s - report.age_s
         if known is not None and received_s <= known.received_s + PEER_AGE_ERROR_S:
             return LimitChange.NOTHING
-        return self._update(key, news.most_per_s, received_s)
+        return self._update(key, report.most_per_s, received_s)
 
     def limits_to_send(self, now_s: float) -> Mapping[int, LimitReport]:
         """Return the limits and tombstones to send to peers, the latest first."""
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -70,7 +70,7 @@
         assert budget.try_spend("s", 1, 11.0)
 
 
-class TestSuspicion:
+class TestOutlierEjection:
     """Outlier ejection after failures."""
 
     def test_one_failure_ejects_a_server_only_if_it_is_clear(self):
@@ -115,7 +115,7 @@
         assert place_plain([], "here") is None
 
 
-class TestUnseenRequests:
+class TestUnreportedRequests:
     """Requests of entries that can't be reached."""
 
     def test_excess_counts_until_it_expires(self):
@@ -129,7 +129,7 @@
         assert unreported.count("a", 0.7) == 0
 
 
-class TestSlowness:
+class TestSlowEventDetector:
     """Detection of engines that are slower than their figures."""
 
     def test_consecutive_slow_events_eject_an_engine_for_a_while(self):
@@ -164,7 +164,7 @@
 
 
 class TestPace:
-    """PaceReports from the reports of engines."""
+    """Paces from the reports of engines."""
 
     def test_each_engine_is_polled_by_one_entry_and_few_are_reassigned(self):
         hosts = [f"10.0.0.{n}" for n in range(6)]
--- a/packages/proxy/tests/test_load_exchange.py
+++ b/packages/proxy/tests/test_load_exchange.py
@@ -63,7 +63,7 @@
         self.nodes = {node.host: node for node in (Node(n, centres) for n in range(entries))}
         self.now_s = 100.0
         self.sent: Counter[str] = Counter()
-        self.far_bytes = 0
+        self.remote_bytes = 0
         self.cut: set[tuple[str, str]] = set()
         """Pairs of data centres without connectivity."""
 
@@ -77,7 +77,7 @@
         """Let all entries send that many rounds of datagrams."""
         for _ in range(rounds):
             self.sent.clear()
-            self.far_bytes = 0
+            self.remote_bytes = 0
             self.now_s += STEP_S
             for node in [node for node in self.nodes.values() if node.is_alive]:
                 self._send_all(node)
@@ -103,7 +103,7 @@
             if (sender.data_centre, other.data_centre) in self.cut:
                 continue
             if other.data_centre != sender.data_centre:
-                self.far_bytes += len(data)
+                self.remote_bytes += len(data)
             other.table.apply(decode_hello(data), self.now_s)
 
     def seen_by(self, node: Node) -> Work:
@@ -143,7 +143,7 @@
         usual = sorted(large.sent.values())[len(large.sent) // 2]
         assert usual <= 14
         assert largest <= 14 + 56
-        assert large.far_bytes / STEP_S < 2_000_000
+        assert large.remote_bytes / STEP_S < 2_000_000
 
     def test_work_is_counted_once_while_the_topology_changes(self):
         """A deployment grows past the number of entries that all report to each other directly.
--- a/packages/proxy/tests/test_peer_messages.py
+++ b/packages/proxy/tests/test_peer_messages.py
@@ -77,10 +77,10 @@
             fingerprint = draw.getrandbits(64)
             for _ in range(3 if number < 20 else 1):
                 quarantine.record_crash(fingerprint, draw.getrandbits(64), 1.0, is_own=True)
-        news = quarantine.news(1.0, is_full=True)
+        report = quarantine.report(1.0, is_full=True)
         loads = {draw.getrandbits(64): Work(1, 2, 3, 4, 400_000, 60_000.0) for _ in range(200)}
         hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, loads, (), {}, {}, 0.0, 0.0, "here", 10)
-        received = decode_hello(encode_hello(hello._replace(quarantine=news)))
-        assert len(encode_hello(hello._replace(quarantine=news))) < 1400
+        received = decode_hello(encode_hello(hello._replace(quarantine=report)))
+        assert len(encode_hello(hello._replace(quarantine=report))) < 1400
         assert len(received.quarantine.crashes) == MAX_CRASHES_SENT
         assert len(received.loads) >= 30
--- a/packages/proxy/tests/test_quarantine.py
+++ b/packages/proxy/tests/test_quarantine.py
@@ -20,8 +20,8 @@
     CRASHES_FOR_VERDICT,
     MAX_VERDICTS,
     MAX_VERDICTS_SENT,
-    NEWS_REPEATED_S,
     QUARANTINE_S,
+    REPORTS_REPEATED_S,
     Quarantine,
 )
 from sassafrastally.proxy.quarantine_exchange import EMPTY_REPORT, VerdictReport
@@ -47,10 +47,10 @@
         """Send each connected entry's records to all other connected ones."""
         reached = [one for number, one in enumerate(self.quarantines) if number not in self.cut]
         for sender in reached:
-            news = sender.news(now_s, is_full=is_full)
+            report = sender.report(now_s, is_full=is_full)
             for receiver in reached:
                 if receiver is not sender:
-                    receiver.apply(news, now_s)
+                    receiver.apply(report, now_s)
 
     def quarantined(self, one: int, now_s: float) -> list[bool]:
         """Return for each entry whether a request is quarantined there."""
@@ -128,7 +128,7 @@
         for number in range(3):
             near.crash(100 + number, {number % 2: [HARMFUL]}, 10.0 + number * 0.1)
         relay, far = near.quarantines[2], Quarantine()
-        far.apply(relay.news(10.3, is_full=False, includes_peers=True), 10.3)
+        far.apply(relay.report(10.3, is_full=False, includes_peers=True), 10.3)
         assert far.verdict(HARMFUL, 10.3) is not None
         assert far.crash_count(HARMFUL, 10.3) == 3
 
@@ -193,10 +193,10 @@
         for server in range(3):
             first.record_crash(GOOD, server, 10.0, is_own=True)
         assert first.verdict(GOOD, 10.0) is not None
-        second.apply(first.news(10.1, is_full=False), 10.1)
-        first.apply(second.news(10.2, is_full=False), 10.2)
+        second.apply(first.report(10.1, is_full=False), 10.1)
+        first.apply(second.report(10.2, is_full=False), 10.2)
         assert first.verdict(GOOD, 10.2) is None
-        second.apply(first.news(10.3, is_full=False), 10.3)
+        second.apply(first.report(10.3, is_full=False), 10.3)
         assert second.verdict(GOOD, 10.3) is None
 
     def test_verdict_received_before_its_crashes_is_refuted_by_them(self):
@@ -293,7 +293,7 @@
         against quarantining the request there for longer than at the others."""
         late = Quarantine()
         late.apply_verdict(VerdictReport(HARMFUL, QUARANTINE_S, 3), 400.0)
-        late.apply(self.quarantined().news(402.0, is_full=True), 402.0)
+        late.apply(self.quarantined().report(402.0, is_full=True), 402.0)
         assert late.verdict(HARMFUL, 402.0).until_s == pytest.approx(10.0 + QUARANTINE_S)
 
 
@@ -309,8 +309,8 @@
             quarantine.record_crash(number, 2 * number, now_s, is_own=True)
             quarantine.record_crash(number, 2 * number + 1, now_s, is_own=True)
             quarantine.record_answered(1_000_000 + number, now_s)
-        news = quarantine.news(now_s, is_full=True)
-        assert len(news.crashes) == MAX_CRASHES_SENT
+        report = quarantine.report(now_s, is_full=True)
+        assert len(report.crashes) == MAX_CRASHES_SENT
         assert sum(quarantine.crash_count(number, now_s) > 0 for number in range(5000)) <= MAX_CASES
 
     def test_number_of_verdicts_and_verdicts_sent_is_bounded(self):
@@ -319,9 +319,9 @@
             for server in range(CRASHES_FOR_VERDICT):
                 quarantine.record_crash(number, 10 * number + server, 10.0 + number, is_own=True)
         assert len(quarantine) == MAX_VERDICTS
-        news = quarantine.news(10.0 + 2 * MAX_VERDICTS, is_full=True)
-        assert len(news.verdicts) == MAX_VERDICTS_SENT
-        assert len(news.answers) <= MAX_ANSWERS_SENT
+        report = quarantine.report(10.0 + 2 * MAX_VERDICTS, is_full=True)
+        assert len(report.verdicts) == MAX_VERDICTS_SENT
+        assert len(report.answers) <= MAX_ANSWERS_SENT
 
     def test_requests_with_most_crashes_are_evicted_last(self):
         quarantine = Quarantine()
@@ -335,17 +335,17 @@
         quarantine = Quarantine()
         for number in range(100):
             quarantine.record_answered(number, 10.0)
-        assert quarantine.news(10.0, is_full=True) is EMPTY_REPORT
+        assert quarantine.report(10.0, is_full=True) is EMPTY_REPORT
 
     def test_old_crashes_are_not_sent_and_then_removed(self):
         quarantine = Quarantine()
         quarantine.record_crash(OTHER, 1, 10.0, is_own=True)
-        assert quarantine.news(10.1, is_full=False).crashes
-        assert not quarantine.news(12.0, is_full=False).crashes
-        assert quarantine.news(12.0, is_full=True).crashes
-        assert not quarantine.news(10.0 + NEWS_REPEATED_S, is_full=True).crashes
+        assert quarantine.report(10.1, is_full=False).crashes
+        assert not quarantine.report(12.0, is_full=False).crashes
+        assert quarantine.report(12.0, is_full=True).crashes
+        assert not quarantine.report(10.0 + REPORTS_REPEATED_S, is_full=True).crashes
         quarantine.forget_old(10.0 + CRASH_KEPT_S)
-        assert quarantine.news(11.0 + CRASH_KEPT_S, is_full=True) is EMPTY_REPORT
+        assert quarantine.report(11.0 + CRASH_KEPT_S, is_full=True) is EMPTY_REPORT
 
 
 class TestPresumedCrashes:
@@ -385,13 +385,13 @@
         """Guards against each entry running the request until three of its own servers crash."""
         quarantine, peer = Quarantine(), Quarantine()
         self.presumed(quarantine, 10.0)
-        news = quarantine.news(10.1, is_full=False)
-        assert not news.verdicts
-        (verdict,) = peer.apply(news, 10.1)
+        report = quarantine.report(10.1, is_full=False)
+        assert not report.verdicts
+        (verdict,) = peer.apply(report, 10.1)
         assert verdict.is_presumed
         for server in (100, 101, 102):
             quarantine.record_crash(HARMFUL, server, 12.0, is_own=True)
-        peer.apply(quarantine.news(12.1, is_full=False), 12.1)
+        peer.apply(quarantine.report(12.1, is_full=False), 12.1)
         assert not peer.verdict(HARMFUL, 12.1).is_presumed
 
     def test_do_not_explain_certain_crashes(self):
--- a/packages/proxy/tests/test_server_limits.py
+++ b/packages/proxy/tests/test_server_limits.py
@@ -50,8 +50,8 @@
             now_s = 0.3 + turn * 0.1
             network_delay_s = 0.02
             for sender, receiver in ((first, second), (second, first)):
-                for key, news in sender.limits_to_send(now_s).items():
-                    receiver.record_peer_limit(key, news, now_s + network_delay_s)
+                for key, report in sender.limits_to_send(now_s).items():
+                    receiver.record_peer_limit(key, report, now_s + network_delay_s)
         assert first.of(SERVER) is None
         assert second.of(SERVER) is None
 
--- a/packages/testing/src/sassafrastally/testing/backpressure_fleet.py
+++ b/packages/testing/src/sassafrastally/testing/backpressure_fleet.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
+    from sassafrastally.stand_ins.caller_requests import ReceivedResponse
     from sassafrastally.stand_ins.platform_fleet import PlatformFleet
-    from sassafrastally.stand_ins.requests import Received
 
 WINDOW_S = 4.0
 """Time over which operators count a server's requests."""
@@ -31,9 +31,9 @@
     return TOLERANCE * most_per_s * WINDOW_S + EXTRA_REQUESTS
 
 
-def most_in_window(called_s: Sequence[float], settled_s: float) -> int:
+def most_in_window(call_times_s: Sequence[float], settled_s: float) -> int:
     """Return the most requests in a window that ends after a moment."""
-    times = sorted(called_s)
+    times = sorted(call_times_s)
     return max(
         (
             1 + place - bisect_left(times, end_s - WINDOW_S)
@@ -52,9 +52,9 @@
     *,
     entries: int = 1,
     prompt: str | None = None,
-) -> list[Received]:
+) -> list[ReceivedResponse]:
     """Send requests at a steady rate, to the entries in turn; return all answers."""
-    answers: list[Received] = []
+    answers: list[ReceivedResponse] = []
 
     async def call(number: int) -> None:
         entry = 1 + number % entries
--- a/packages/testing/src/sassafrastally/testing/experiment/troubles.py
+++ b/packages/testing/src/sassafrastally/testing/experiment/troubles.py
@@ -44,9 +44,9 @@
 async def _lose_store(world: World, plan: TroublePlan) -> None:
     """No entry reaches the store."""
     numbers = set(world.entry_numbers)
-    world.fleet.cut_from_store |= numbers
+    world.fleet.entries_without_store |= numbers
     await trio.sleep(plan.for_s)
-    world.fleet.cut_from_store -= numbers
+    world.fleet.entries_without_store -= numbers
 
 
 @TROUBLES.register("engines-slow")
--- a/packages/testing/src/sassafrastally/testing/harmful_fleet.py
+++ b/packages/testing/src/sassafrastally/testing/harmful_fleet.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.stand_ins.platform_fleet import until
+from sassafrastally.stand_ins.platform_fleet import wait_until
 
 if TYPE_CHECKING:
     from sassafrastally.stand_ins.platform_fleet import PlatformFleet
-    from sassafrastally.stand_ins.replica import Arrival, Replica
+    from sassafrastally.stand_ins.replica import ReceivedRequest, Replica
 
 HARMFUL = b"a prompt that crashes what runs it"
 """Body of the harmful request."""
@@ -27,12 +27,16 @@
     for number in range(1, entries + 1):
         await fleet.add_entry(number)
     peers = [kernel.get("peers", Peers) for kernel in fleet.kernels]
-    await until(lambda: all(peer.live_count() == entries - 1 for peer in peers))
+    await wait_until(lambda: all(peer.live_count() == entries - 1 for peer in peers))
 
 
-def harmful_arrivals(fleet: PlatformFleet) -> list[Arrival]:
+def harmful_arrivals(fleet: PlatformFleet) -> list[ReceivedRequest]:
     """Return the harmful requests that reached a backend server, in their order."""
-    return [arrival for arrival in fleet.arrivals() if arrival.request.body in fleet.harmful_bodies]
+    return [
+        arrival
+        for arrival in fleet.received_requests()
+        if arrival.request.body in fleet.harmful_bodies
+    ]
 
 
 def alive(fleet: PlatformFleet) -> list[Replica]:
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -1,6 +1,6 @@
 """Replays of a load: several entries' decisions before engines that work in passes.
 
-The decisions are the product's own; engines are `PassingEngine`s on trio's clock. Between them
+The decisions are the product's own; engines are `SimulatedEngine`s on trio's clock. Between them
 stands no network and no HTTP, so that half a minute of some hundred requests a second is replayed
 in seconds and a change of a decision can be compared on the same arrivals.
 """
@@ -31,7 +31,7 @@
     SILENCE_TIMEOUT_SHARE,
 )
 from sassafrastally.proxy.turning_away import retry_delay_s, would_miss_deadline
-from sassafrastally.stand_ins.passing_engine import Full, PassingEngine
+from sassafrastally.stand_ins.simulated_engine import EngineFull, SimulatedEngine
 from sassafrastally.testing.load_arrivals import Arrival, Deployment, Kind
 
 if TYPE_CHECKING:
@@ -130,7 +130,7 @@
         self._entries = [_Entry(seed * 1000 + number) for number in range(deployment.entries)]
         for entry in self._entries:
             entry.ledger.others = partial(self._told_to, entry)
-        self._engines = [PassingEngine(deployment.profile) for _ in range(deployment.engines)]
+        self._engines = [SimulatedEngine(deployment.profile) for _ in range(deployment.engines)]
         self._servers = sorted(
             (
                 BackendServer(
@@ -244,7 +244,7 @@
         route = self._routes[arrival.kind.name]
         return choose_lane(route, arrival.prompt, self._profile, self._limits)
 
-    def engine(self, incarnation_id: str) -> PassingEngine:
+    def engine(self, incarnation_id: str) -> SimulatedEngine:
         """Return an engine by its server's incarnation."""
         return self._engines[int(incarnation_id[1:])]
 
@@ -321,7 +321,7 @@
             with trio.move_on_after(limit_s) as silence:
                 return await self._run(placement, in_flight, silence, patience_s)
             return False
-        except Full:
+        except EngineFull:
             return False
         finally:
             self._entry.ledger.remove(in_flight, trio.current_time())
--- a/packages/testing/src/sassafrastally/testing/soak/asking.py
+++ b/packages/testing/src/sassafrastally/testing/soak/asking.py
@@ -12,7 +12,7 @@
 from sassafrastally.testing.soak.troubles import SERVES_ON_S, claimed, some_server, trouble
 
 if TYPE_CHECKING:
-    from sassafrastally.stand_ins.replica import Arrival, Replica
+    from sassafrastally.stand_ins.replica import ReceivedRequest, Replica
     from sassafrastally.testing.soak.fleet import SoakFleet
 
 LIMITED = "server-limited"
@@ -84,8 +84,8 @@
 def judge_asking(fleet: SoakFleet) -> None:
     """Judge whether entries did what servers asked of them in their answers."""
     for replica in fleet.all_replicas:
-        by_entry: dict[int, list[Arrival]] = defaultdict(list)
-        for arrival in replica.arrivals:
+        by_entry: dict[int, list[ReceivedRequest]] = defaultdict(list)
+        for arrival in replica.received_requests:
             if (attempt := fleet.record.attempts.get(arrival.request_id)) is not None:
                 by_entry[attempt.entry].append(arrival)
         for entry, arrivals in by_entry.items():
@@ -96,7 +96,9 @@
                 _judge_limit(fleet, span, by_entry)
 
 
-def _judge_limit(fleet: SoakFleet, span: LimitedSpan, by_entry: dict[int, list[Arrival]]) -> None:
+def _judge_limit(
+    fleet: SoakFleet, span: LimitedSpan, by_entry: dict[int, list[ReceivedRequest]]
+) -> None:
     """Judge the sum over entries that had been told, as far as nothing excuses them."""
     others = [one for one in fleet.limited if one.replica is span.replica and one is not span]
     if any(one.begin_s < span.end_s and span.begin_s < one.end_s for one in others):
@@ -112,14 +114,16 @@
         fleet.record.note_broken("limits of servers are kept", detail)
 
 
-def _told_s(arrivals: list[Arrival], span: LimitedSpan) -> float | None:
+def _told_s(arrivals: list[ReceivedRequest], span: LimitedSpan) -> float | None:
     """Return when an entry was first told of a limit, ``None`` if it wasn't."""
     told = (one.finished_s for one in arrivals if one.at_s >= span.begin_s and one.finished_s)
     return min((told_s for told_s in told if told_s <= span.end_s), default=None)
 
 
-def _judge_leaving(fleet: SoakFleet, replica: Replica, entry: int, arrivals: list[Arrival]) -> None:
-    told = [one.finished_s for one in arrivals if one.said_leaving and one.finished_s]
+def _judge_leaving(
+    fleet: SoakFleet, replica: Replica, entry: int, arrivals: list[ReceivedRequest]
+) -> None:
+    told = [one.finished_s for one in arrivals if one.announced_leaving and one.finished_s]
     if not told:
         return
     told_s = min(told)
@@ -134,7 +138,9 @@
         fleet.record.note_broken("servers that say they leave are left alone", detail)
 
 
-def _judge_rests(fleet: SoakFleet, replica: Replica, entry: int, arrivals: list[Arrival]) -> None:
+def _judge_rests(
+    fleet: SoakFleet, replica: Replica, entry: int, arrivals: list[ReceivedRequest]
+) -> None:
     for asking in arrivals:
         if asking.cool_down_s is None:
             continue
--- a/packages/testing/src/sassafrastally/testing/soak/callers.py
+++ b/packages/testing/src/sassafrastally/testing/soak/callers.py
@@ -8,7 +8,7 @@
 import trio
 
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, connect
-from sassafrastally.stand_ins.requests import request_fields, send_request
+from sassafrastally.stand_ins.caller_requests import request_fields, send_request
 from sassafrastally.testing.soak.record import Attempt, Kind
 
 if TYPE_CHECKING:
--- a/packages/testing/src/sassafrastally/testing/soak/fleet.py
+++ b/packages/testing/src/sassafrastally/testing/soak/fleet.py
@@ -209,7 +209,7 @@
 
     async def _run_replica(self, server: Server) -> None:
         replica = server.replica
-        replica.crashes_under = self.harmful_bodies
+        replica.crashing_bodies = self.harmful_bodies
         await replica.start(self._hosts + "2", self.nursery)
         self.nursery.start_soon(self._replace_crashed, server, replica)
         server.proxy.target = replica.address
--- a/packages/testing/src/sassafrastally/testing/soak/harmful.py
+++ b/packages/testing/src/sassafrastally/testing/soak/harmful.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from sassafrastally.stand_ins.replica import Arrival
+    from sassafrastally.stand_ins.replica import ReceivedRequest
     from sassafrastally.testing.soak.fleet import SoakFleet
 
 NAME = "harmful-request"
@@ -47,9 +47,9 @@
             await trio.sleep(fleet.random.expovariate(1 / PAUSE_S))
 
 
-def judge_harmful(fleet: SoakFleet, arrivals: Mapping[str, Sequence[Arrival]]) -> None:
+def judge_harmful(fleet: SoakFleet, arrivals: Mapping[str, Sequence[ReceivedRequest]]) -> None:
     """Judge how often such requests were sent on after three servers had crashed under them."""
-    by_content: dict[bytes, list[Arrival]] = defaultdict(list)
+    by_content: dict[bytes, list[ReceivedRequest]] = defaultdict(list)
     for of_one in arrivals.values():
         for arrival in of_one:
             if arrival.request.body in fleet.harmful_bodies:
@@ -66,7 +66,7 @@
             fleet.record.note_broken("harmful requests are run by few", detail)
 
 
-def _is_late(fleet: SoakFleet, arrival: Arrival, known_s: float) -> bool:
+def _is_late(fleet: SoakFleet, arrival: ReceivedRequest, known_s: float) -> bool:
     attempt = fleet.record.attempts.get(arrival.request_id)
     if attempt is None or arrival.at_s <= known_s:
         return False
--- a/packages/testing/src/sassafrastally/testing/soak/probing.py
+++ b/packages/testing/src/sassafrastally/testing/soak/probing.py
@@ -9,8 +9,8 @@
 
 from sassafrastally.proxy.calls import CallClient
 from sassafrastally.proxy.store import AnswerLost
+from sassafrastally.stand_ins.caller_requests import request_fields
 from sassafrastally.stand_ins.documents import HOST_NAME, KEY
-from sassafrastally.stand_ins.requests import request_fields
 from sassafrastally.testing.soak.callers import Caller
 from sassafrastally.testing.soak.record import Kind
 
--- a/packages/testing/src/sassafrastally/testing/soak/promises.py
+++ b/packages/testing/src/sassafrastally/testing/soak/promises.py
@@ -14,7 +14,7 @@
 from sassafrastally.testing.soak.record import Attempt, Kind
 
 if TYPE_CHECKING:
-    from sassafrastally.stand_ins.replica import Arrival
+    from sassafrastally.stand_ins.replica import ReceivedRequest
     from sassafrastally.testing.soak.fleet import SoakFleet
     from sassafrastally.testing.soak.record import Record
 
@@ -84,14 +84,14 @@
         judge_harmful(self._fleet, arrivals)
         judge_asking(self._fleet)
 
-    def _arrivals(self) -> dict[str, list[Arrival]]:
-        by_id: dict[str, list[Arrival]] = defaultdict(list)
+    def _arrivals(self) -> dict[str, list[ReceivedRequest]]:
+        by_id: dict[str, list[ReceivedRequest]] = defaultdict(list)
         for replica in self._fleet.all_replicas:
-            for arrival in replica.arrivals:
+            for arrival in replica.received_requests:
                 by_id[arrival.request_id].append(arrival)
         return by_id
 
-    def _judge(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         outcome = str(attempt.status) if attempt.is_whole else "broken off"
         self.counts["left" if attempt.has_left else outcome] += 1
         self._judge_once(attempt, arrivals)
@@ -105,18 +105,18 @@
         if not attempt.is_harmful and b"refusal:quarantined" in attempt.body:
             self._break("only harmful requests are quarantined", attempt, f"{attempt.body!r}")
 
-    def _judge_once(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge_once(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         runs = sum(arrival.has_run for arrival in arrivals)
         if attempt.kind is Kind.BOOK and runs > 1:
             self._break("at most once", attempt, f"{runs} runs")
 
-    def _judge_not_run(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge_not_run(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         says_not_run = attempt.status in NOT_RUN and attempt.is_whole
         has_run = any(arrival.has_run for arrival in arrivals)
         if says_not_run and has_run and attempt.kind is Kind.BOOK:
             self._break("not run is true", attempt, f"status {attempt.status}, and it ran")
 
-    def _judge_passed_on(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge_passed_on(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         for arrival in arrivals:
             request = arrival.request
             is_own = request.target == attempt.target
@@ -125,7 +125,7 @@
             if request.headers.get("tenant") != "ana" or "authorization" in request.headers:
                 self._break("customer", attempt, f"{request.headers}")
 
-    def _judge_content(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge_content(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         """Judge what a success brought: the whole answer of a run of this very request."""
         if not any(arrival.has_run for arrival in arrivals):
             self._break("own answer", attempt, "a success that no server ran")
@@ -147,7 +147,7 @@
         if attempt.is_whole and len(ids) != attempt.events:
             self._break("whole stream", attempt, f"{len(ids)} of {attempt.events} events")
 
-    def _judge_answered(self, attempt: Attempt, arrivals: list[Arrival]) -> None:
+    def _judge_answered(self, attempt: Attempt, arrivals: list[ReceivedRequest]) -> None:
         assert attempt.ended_s is not None
         if not self._record.is_calm(attempt.entry, attempt.sent_s, attempt.ended_s):
             return
@@ -163,7 +163,7 @@
             drained_s = self._fleet.drained.get(replica.server_id)
             if drained_s is None:
                 continue
-            for arrival in replica.arrivals:
+            for arrival in replica.received_requests:
                 attempt = self._record.attempts.get(arrival.request_id)
                 if attempt is None or arrival.at_s < drained_s + DRAIN_S:
                     continue
@@ -172,7 +172,7 @@
         if late:
             self._record.note_broken("drained servers are left alone", ", ".join(late[:5]))
 
-    def _judge_gone(self, arrivals: dict[str, list[Arrival]]) -> None:
+    def _judge_gone(self, arrivals: dict[str, list[ReceivedRequest]]) -> None:
         late = []
         for attempt in self._record.attempts.values():
             if not attempt.has_left or attempt.kind is Kind.BOOK or attempt.ended_s is None:
@@ -185,7 +185,7 @@
         if len(late) > SEVERAL:
             self._record.note_broken("nothing runs for callers that left", ", ".join(late[:5]))
 
-    def _judge_repeats(self, arrivals: dict[str, list[Arrival]]) -> None:
+    def _judge_repeats(self, arrivals: dict[str, list[ReceivedRequest]]) -> None:
         """Judge the budget of repeats over sliding windows, over all services together."""
         firsts = sorted(attempt.sent_s for attempt in self._record.attempts.values())
         repeats = sorted(
--- a/packages/testing/src/sassafrastally/testing/soak/troubles.py
+++ b/packages/testing/src/sassafrastally/testing/soak/troubles.py
@@ -208,15 +208,15 @@
     lapsed = some_server(fleet) if fleet.random.random() < LAPSE_SHARE else None
     store = fleet.store
     with fleet.record.trouble(f"store-away: {how}", at_store=True):
-        store.refuses_with = fleet.random.choice([429, 503]) if how == "refuses" else 0
-        store.is_silent = how == "silent"
+        store.error_status = fleet.random.choice([429, 503]) if how == "refuses" else 0
+        store.is_unresponsive = how == "silent"
         store.delay_s = STORE_DELAY_S if how == "slow" else 0.0
-        store.loses_answers = how == "loses answers"
+        store.loses_responses = how == "loses answers"
         await trio.sleep(fleet.random.uniform(0.5, 6.0))
         if lapsed is not None:
             fleet.unregister(lapsed)
-        store.refuses_with = 0
-        store.is_silent = store.loses_answers = False
+        store.error_status = 0
+        store.is_unresponsive = store.loses_responses = False
         store.delay_s = 0.0
         for proxy in fleet.store_proxies.values():
             proxy.reset_all()
@@ -281,16 +281,16 @@
     how = fleet.random.choice(["refuses", "fails", "loses", "breaks", "doubles", "mute", "slow"])
     with fleet.record.trouble(f"server-misbehaves: {how}"):
         replica.refuses = how == "refuses"
-        replica.answers_with = SERVER_FAILURE if how == "fails" else 0
-        replica.resets_after_run = how == "loses"
+        replica.response_status = SERVER_FAILURE if how == "fails" else 0
+        replica.resets_instead_of_response = how == "loses"
         replica.breaks_after_events = fleet.random.randint(0, 6) if how == "breaks" else -1
-        replica.extra_answer = how == "doubles"
-        replica.is_mute = how == "mute"
+        replica.sends_extra_response = how == "doubles"
+        replica.is_unresponsive = how == "mute"
         _set_pace(replica, SLOW_PACE if how == "slow" else 1.0)
         await trio.sleep(fleet.random.uniform(1.0, 6.0))
-        replica.refuses = replica.resets_after_run = False
-        replica.extra_answer = replica.is_mute = False
-        replica.answers_with = 0
+        replica.refuses = replica.resets_instead_of_response = False
+        replica.sends_extra_response = replica.is_unresponsive = False
+        replica.response_status = 0
         replica.breaks_after_events = -1
         _set_pace(replica, 1.0)
 
--- a/packages/testing/tests/platform/test_backpressure.py
+++ b/packages/testing/tests/platform/test_backpressure.py
@@ -8,7 +8,7 @@
 import trio
 
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.stand_ins.platform_fleet import until
+from sassafrastally.stand_ins.platform_fleet import wait_until
 from sassafrastally.testing.backpressure_fleet import (
     SETTLED_S,
     allowed,
@@ -33,13 +33,13 @@
         await start_fleet(fleet, entries=3, engines=2)
         limited = fleet.replicas[f"{kind}-1"]
         limited.most_per_s = 1.0
-        limited.called_s.clear()
+        limited.call_times_s.clear()
         path = "/note/x" if kind == "engine" else "/look/x"
         await offer(fleet, path, per_s=12.0, for_s=8.0, entries=3, prompt=prompt)
-        settled_s = limited.called_s[0] + SETTLED_S
-        most = most_in_window(limited.called_s, settled_s)
+        settled_s = limited.call_times_s[0] + SETTLED_S
+        most = most_in_window(limited.call_times_s, settled_s)
         assert most <= allowed(limited.most_per_s)
-        settled = [at_s for at_s in limited.called_s if at_s >= settled_s]
+        settled = [at_s for at_s in limited.call_times_s if at_s >= settled_s]
         assert len(settled) >= 0.5 * limited.most_per_s * (8.0 - SETTLED_S)
 
     async def test_limit_holds_without_the_store_and_ends_when_withdrawn(self, fleet):
@@ -47,16 +47,18 @@
         await start_fleet(fleet, entries=3, engines=2)
         limited = fleet.replicas["desk-1"]
         limited.most_per_s = 1.0
-        fleet.cut_from_store = {1, 2, 3}
-        limited.called_s.clear()
+        fleet.entries_without_store = {1, 2, 3}
+        limited.call_times_s.clear()
         await offer(fleet, "/look/x", per_s=12.0, for_s=5.0, entries=3)
-        assert most_in_window(limited.called_s, limited.called_s[0] + SETTLED_S) <= allowed(1.0)
+        assert most_in_window(limited.call_times_s, limited.call_times_s[0] + SETTLED_S) <= allowed(
+            1.0
+        )
         limited.most_per_s = None
         await offer(fleet, "/look/x", per_s=12.0, for_s=4.0, entries=3)
         assert known_limits(fleet, "desk-1") == [None, None, None]
-        before = len(limited.called_s)
+        before = len(limited.call_times_s)
         await offer(fleet, "/look/y", per_s=12.0, for_s=1.0, entries=3)
-        assert len(limited.called_s) - before >= 3
+        assert len(limited.call_times_s) - before >= 3
 
     async def test_server_is_used_again_soon_after_a_limit_of_zero(self, fleet):
         """Guards against refusals that go on after all servers have withdrawn a limit of 0."""
@@ -74,9 +76,9 @@
         await start_fleet(fleet, entries=2, engines=2)
         fleet.replicas["desk-1"].most_per_s = 1.5
         await offer(fleet, "/look/x", per_s=10.0, for_s=0.5, entries=2)
-        await until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5])
+        await wait_until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5])
         await fleet.add_entry(3)
-        await until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5, 1.5])
+        await wait_until(lambda: known_limits(fleet, "desk-1") == [1.5, 1.5, 1.5])
 
     async def test_limit_ends_with_the_server_incarnation(self, fleet):
         """Guards against applying the limit of a server's previous incarnation after a restart."""
@@ -87,7 +89,7 @@
         assert known_limits(fleet, "desk-1") == [0.5]
         server.most_per_s, server.born_ms = None, 1_000
         fleet.store.put("servers/desk-1", server.entry())
-        await until(lambda: known_limits(fleet, "desk-1@1000") == [None])
+        await wait_until(lambda: known_limits(fleet, "desk-1@1000") == [None])
         answers = await offer(fleet, "/look/x", per_s=10.0, for_s=0.5)
         assert [answer.status for answer in answers] == [200] * 5
 
@@ -120,7 +122,9 @@
         for number in range(4):
             await fleet.call(f"/dossier/{number}", prompt="150000,34")
         address = str(fleet.replicas["engine-1"].address)
-        helped = [arrival.request.headers.get("helpers", "") for arrival in fleet.arrivals()]
+        helped = [
+            arrival.request.headers.get("helpers", "") for arrival in fleet.received_requests()
+        ]
         assert any(helped)
         assert not any(address in helpers for helpers in helped)
 
@@ -134,15 +138,15 @@
     ):
         """Guards against requests to a leaving server during a store outage."""
         await start_fleet(fleet, entries=2, engines=2)
-        fleet.cut_from_store = {1, 2}
+        fleet.entries_without_store = {1, 2}
         leaving = fleet.replicas[f"{kind}-1"]
         leaving.is_leaving = True
         path = "/note/x" if kind == "engine" else "/look/x"
         await offer(fleet, path, per_s=20.0, for_s=1.0, entries=2, prompt=prompt)
-        received = len(leaving.arrivals)
+        received = len(leaving.received_requests)
         answers = await offer(fleet, path, per_s=20.0, for_s=1.0, entries=2, prompt=prompt)
         assert received > 0
-        assert len(leaving.arrivals) == received
+        assert len(leaving.received_requests) == received
         assert [answer.status for answer in answers] == [200] * 20
 
 
@@ -157,8 +161,10 @@
         cooling.refuses, cooling.cool_down_s = True, 1.5
         path = "/note/x" if kind == "engine" else "/look/x"
         answers = await offer(fleet, path, per_s=20.0, for_s=1.2, prompt=prompt)
-        refused_s = cooling.arrivals[0].at_s
-        received = [at_s for at_s in cooling.called_s if refused_s + 0.1 < at_s < refused_s + 1.5]
+        refused_s = cooling.received_requests[0].at_s
+        received = [
+            at_s for at_s in cooling.call_times_s if refused_s + 0.1 < at_s < refused_s + 1.5
+        ]
         assert received == []
         assert [answer.status for answer in answers] == [200] * 24
         cooling.refuses = False
@@ -185,10 +191,10 @@
         for server in servers:
             server.refuses, server.cool_down_s = True, 1.2
         await fleet.call("/look/x")
-        received = [len(server.arrivals) for server in servers]
+        received = [len(server.received_requests) for server in servers]
         answer = await fleet.call("/look/y")
         assert json.loads(answer.body)["type"].endswith("servers-limited")
-        assert [len(server.arrivals) for server in servers] == received == [1, 1]
+        assert [len(server.received_requests) for server in servers] == received == [1, 1]
         for server in servers:
             server.refuses = False
         await trio.sleep(float(answer.headers["retry-after"]))
--- a/packages/testing/tests/platform/test_engines_in_trouble.py
+++ b/packages/testing/tests/platform/test_engines_in_trouble.py
@@ -11,7 +11,7 @@
 from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.stand_ins.documents import make_configuration, make_route
-from sassafrastally.stand_ins.platform_fleet import failure_causes, until
+from sassafrastally.stand_ins.platform_fleet import attempt_failure_causes, wait_until
 
 
 class TestSlowServers:
@@ -57,7 +57,9 @@
             for number in range(4):
                 path = f"/note/{number}"
                 nursery.start_soon(partial(small_fleet.call, path, prompt="1000,340"))
-        unfinished = [arrival for arrival in small_fleet.arrivals() if arrival.finished_s is None]
+        unfinished = [
+            arrival for arrival in small_fleet.received_requests() if arrival.finished_s is None
+        ]
         assert len(unfinished) >= 4
         assert fleet_view.outlier_ejection.suspects(kernel.clock.now_s()) == {}
 
@@ -69,7 +71,7 @@
         kernel = small_fleet.kernels[0]
         fleet_view = kernel.get("sight", FleetView)
         small_fleet.replicas["engine-1"].ignores_report_calls = True
-        await until(
+        await wait_until(
             lambda: "engine-1" in fleet_view.outlier_ejection.suspects(kernel.clock.now_s()), 5.0
         )
         await small_fleet.call("/note/x", prompt="1000,34")
@@ -87,7 +89,7 @@
         def failures() -> int:
             return sum(record["name"] == "ReportFailed" for record in kernel.events.records())
 
-        await until(lambda: failures() >= 5, 9.0)
+        await wait_until(lambda: failures() >= 5, 9.0)
         assert kernel.get("sight", FleetView).outlier_ejection.suspects(kernel.clock.now_s()) == {}
 
 
@@ -120,8 +122,8 @@
         await trio.sleep(0.1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
-            await until(lambda: any(replica.seen for replica in small_fleet.replicas.values()))
-            (first,) = small_fleet.arrivals()
+            await wait_until(lambda: any(replica.seen for replica in small_fleet.replicas.values()))
+            (first,) = small_fleet.received_requests()
             helper = next(
                 replica
                 for replica in small_fleet.replicas.values()
@@ -129,9 +131,9 @@
             )
             helper.engine.pace = 20.0
         assert answers[0].is_whole
-        _, second = small_fleet.arrivals()
+        _, second = small_fleet.received_requests()
         assert str(helper.address) not in second.request.headers["helpers"]
-        (cause,) = failure_causes(small_fleet.kernels[0])
+        (cause,) = attempt_failure_causes(small_fleet.kernels[0])
         assert "20.0 times slower" in cause
 
     async def test_cancelled_move_is_not_the_cause_of_the_next_failure(
@@ -159,7 +161,7 @@
                 assert placed["name"] == "RequestPlaced"
                 helper = small_fleet.replicas[placed["fields"]["helpers"][0]]
                 helper.engine.pace = 20.0
-                await until(fleet_view.paces, 5.0)
+                await wait_until(fleet_view.paces, 5.0)
                 await trio.sleep(0.5)
                 failure = AttemptNotRun("no memory")
                 failure.counts_against_server = False
@@ -174,7 +176,7 @@
         for replica in small_fleet.replicas.values():
             monkeypatch.setattr(replica, "_stream", reset)
         await small_fleet.call("/dossier/x", prompt="182000,340", headers={"Deadline-Ms": "5000"})
-        causes = failure_causes(kernel)
+        causes = attempt_failure_causes(kernel)
         assert len(causes) == 2
         assert "slower" not in causes[1]
 
@@ -192,8 +194,8 @@
         for number in range(3, 13):
             await small_fleet.add_replica(f"engine-{number}")
         kernel = small_fleet.kernels[0]
-        await until(lambda: len(kernel.get("sight", FleetView).views("engines", set())) == 12)
-        small_fleet.store.is_silent = True
+        await wait_until(lambda: len(kernel.get("sight", FleetView).views("engines", set())) == 12)
+        small_fleet.store.is_unresponsive = True
         await trio.sleep(2.2)
         for number in (4, 7, 10):
             small_fleet.replicas[f"engine-{number}"].refuses = True
@@ -203,4 +205,4 @@
             statuses.append(answer.status)
             await trio.sleep(1.1)
         assert statuses[2:] == [200, 200, 200]
-        assert len(failure_causes(kernel)) <= 3
+        assert len(attempt_failure_causes(kernel)) <= 3
--- a/packages/testing/tests/platform/test_entries.py
+++ b/packages/testing/tests/platform/test_entries.py
@@ -17,9 +17,9 @@
 from sassafrastally.proxy.path import RequestPath
 from sassafrastally.proxy.peer_messages import encode_delta
 from sassafrastally.proxy.peers import Peers
+from sassafrastally.stand_ins.caller_requests import exchange_on, request_fields
 from sassafrastally.stand_ins.documents import make_configuration, make_route
-from sassafrastally.stand_ins.platform_fleet import until
-from sassafrastally.stand_ins.requests import exchange_on, request_fields
+from sassafrastally.stand_ins.platform_fleet import wait_until
 
 
 def version_of(kernel) -> int:
@@ -41,22 +41,22 @@
             nursery.start_soon(fleet.add_entry, 1)
             nursery.start_soon(fleet.add_entry, 2)
         peers = [kernel.get("peers", Peers) for kernel in fleet.kernels]
-        await until(lambda: all(peer.live_count() == 1 for peer in peers))
+        await wait_until(lambda: all(peer.live_count() == 1 for peer in peers))
 
     async def test_load_is_gossiped_to_peers(self, fleet):
         replica = await fleet.add_replica("engine-1")
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
-        await until(lambda: second.get("peers", Peers).live_count() == 1)
+        await wait_until(lambda: second.get("peers", Peers).live_count() == 1)
         connection = await fleet.connect(1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
                 exchange_on, connection, "POST", "/note/x", request_fields(prompt="900,34000"), b""
             )
             fleet_view = second.get("sight", FleetView)
-            await until(lambda: fleet_view.work().at("engine-1").short_requests == 1)
+            await wait_until(lambda: fleet_view.work().at("engine-1").short_requests == 1)
             nursery.cancel_scope.cancel()
         await connection.close()
-        await until(lambda: fleet_view.work().at("engine-1").short_requests == 0)
+        await wait_until(lambda: fleet_view.work().at("engine-1").short_requests == 0)
         assert replica.engine.running == 0
         assert first.get("peers", Peers).live_count() == 1
 
@@ -69,13 +69,13 @@
         for number in (1, 2):
             await fleet.add_replica(f"engine-{number}")
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
-        await until(lambda: second.get("peers", Peers).live_count() == 1)
+        await wait_until(lambda: second.get("peers", Peers).live_count() == 1)
         dead = first.get("beliefs", ClusterState).server("engine-1")
         first.get("sight", FleetView).record_failure(
             dead, "nobody answers", "r", is_conclusive=True
         )
         fleet_view = second.get("sight", FleetView)
-        await until(lambda: len(fleet_view.views("engines", set())) == 1)
+        await wait_until(lambda: len(fleet_view.views("engines", set())) == 1)
 
 
 class TestConfiguration:
@@ -88,15 +88,15 @@
         arrives from the peer.
         """
         first, second = await fleet.add_entry(1), await fleet.add_entry(2)
-        await until(lambda: second.get("peers", Peers).live_count() == 1)
-        fleet.cut_from_store.add(2)
+        await wait_until(lambda: second.get("peers", Peers).live_count() == 1)
+        fleet.entries_without_store.add(2)
         fleet.configure(make_configuration(7))
-        await until(lambda: version_of(first) == 7)
-        await until(lambda: version_of(second) == 7)
+        await wait_until(lambda: version_of(first) == 7)
+        await wait_until(lambda: version_of(second) == 7)
 
     async def test_older_version_is_ignored(self, small_fleet):
         small_fleet.configure(make_configuration(9))
-        await until(lambda: version_of(small_fleet.kernels[0]) == 9)
+        await wait_until(lambda: version_of(small_fleet.kernels[0]) == 9)
         small_fleet.configure(
             make_configuration(3, routes=[make_route("old", "idempotent", "desk")])
         )
@@ -104,7 +104,7 @@
         assert version_of(small_fleet.kernels[0]) == 9
 
     async def test_entry_without_configuration_refuses_with_retry_after(self, fleet):
-        fleet.store.refuses_with = 503
+        fleet.store.error_status = 503
         await fleet.add_entry()
         answer = await fleet.call("/look/x")
         assert answer.status == 503
@@ -117,7 +117,7 @@
         refused as well.
         """
         await fleet.add_replica("desk-1", "desk")
-        fleet.store.refuses_with = 503
+        fleet.store.error_status = 503
         await fleet.add_entry()
         async with trio.open_nursery() as nursery:
             answers = []
@@ -127,7 +127,7 @@
 
             nursery.start_soon(call)
             await trio.sleep(0.05)
-            fleet.store.refuses_with = 0
+            fleet.store.error_status = 0
         assert answers[0].status == 200
 
 
@@ -161,11 +161,11 @@
         for number in range(1, self.ENTRIES + 1):
             host = fleet.entry_settings(number).host
             seeded_network.limit_link(host, self.LINK_BYTES_PER_S)
-        await until(lambda: all(k.get("peers", Peers).live_count() == 5 for k in entries))
+        await wait_until(lambda: all(k.get("peers", Peers).live_count() == 5 for k in entries))
         for version in range(2, 12):
             fleet.configure(self.large(version))
             await trio.sleep(0.1)
-        await until(lambda: all(version_of(kernel) == 11 for kernel in entries), 2.0)
+        await wait_until(lambda: all(version_of(kernel) == 11 for kernel in entries), 2.0)
         assert len(sent_bytes) <= (self.ENTRIES - 2) * 12
         assert sum(sent_bytes) < 5_000_000
 
@@ -174,7 +174,7 @@
     """Store outages, lost history and outdated registrations."""
 
     async def test_requests_are_served_during_an_outage(self, small_fleet):
-        small_fleet.store.is_silent = True
+        small_fleet.store.is_unresponsive = True
         await trio.sleep(1.2)
         assert (await small_fleet.call("/look/x")).status == 200
 
@@ -184,13 +184,13 @@
         The store compacts its history while an entry's watch is interrupted. Resuming the watch
         from the old revision would miss the removal.
         """
-        small_fleet.store.refuses_with = 503
+        small_fleet.store.error_status = 503
         await trio.sleep(1.3)
         small_fleet.store.remove("servers/desk-1")
         small_fleet.store.forget_history()
-        small_fleet.store.refuses_with = 0
+        small_fleet.store.error_status = 0
         cluster_state = small_fleet.kernels[0].get("beliefs", ClusterState)
-        await until(lambda: cluster_state.server("desk-1") is None, 5.0)
+        await wait_until(lambda: cluster_state.server("desk-1") is None, 5.0)
 
     async def test_draining_server_gets_no_new_requests(self, small_fleet):
         replica = small_fleet.replicas["desk-1"]
@@ -232,7 +232,7 @@
             "sight", FleetView
         )
         self.restart(small_fleet, "engine-1")
-        await until(lambda: cluster_state.server("engine-1").born_ms is not None)
+        await wait_until(lambda: cluster_state.server("engine-1").born_ms is not None)
         previous = cluster_state.server("engine-1")
         for _ in range(4):
             fleet_view.record_failure(previous, "nobody answers", "r", is_conclusive=True)
@@ -241,7 +241,7 @@
             0.0,
         )
         self.restart(small_fleet, "engine-1")
-        await until(lambda: cluster_state.server("engine-1") != previous)
+        await wait_until(lambda: cluster_state.server("engine-1") != previous)
         views = {view.server.server_id: view for view in fleet_view.views("engines", set())}
         assert not views["engine-1"].is_suspect
         assert views["engine-1"].work.tokens == 0
@@ -255,7 +255,7 @@
         new incarnation doesn't know the request, so a retry would book twice.
         """
         for number in (1, 2):
-            small_fleet.replicas[f"desk-{number}"].resets_after_run = True
+            small_fleet.replicas[f"desk-{number}"].resets_instead_of_response = True
             small_fleet.replicas[f"desk-{number}"].work_s = 0.3
         async with trio.open_nursery() as nursery:
             answers = []
@@ -278,7 +278,7 @@
             await small_fleet.call("/look/x")
         previous = cluster_state.server("desk-1")
         self.restart(small_fleet, "desk-1")
-        await until(lambda: cluster_state.server("desk-1") != previous)
+        await wait_until(lambda: cluster_state.server("desk-1") != previous)
         assert await connections.acquire(cluster_state.server("desk-1")) is None
 
 
@@ -296,7 +296,7 @@
             await fleet.add_entry(number)
         last = numbers[3]
         kernel = await fleet.add_entry(last)
-        await until(lambda: kernel.get("peers", Peers).live_count() == 3)
+        await wait_until(lambda: kernel.get("peers", Peers).live_count() == 3)
         await trio.sleep(0.8)
         calls = {
             path: count for (number, path), count in fleet.store_calls.items() if number == last
@@ -324,17 +324,17 @@
         are enough, because the first that gets a response informs the others.
         """
         entries = [await fleet.add_entry(number) for number in range(1, 13)]
-        await until(lambda: all(k.get("peers", Peers).live_count() == 11 for k in entries))
-        fleet.store.refuses_with = 503
+        await wait_until(lambda: all(k.get("peers", Peers).live_count() == 11 for k in entries))
+        fleet.store.error_status = 503
         await trio.sleep(4.0)
         fleet.store_calls.clear()
         await trio.sleep(3.0)
         tries = sorted(fleet.store_calls[number, "/kv-watch"] for number in range(1, 13))
         assert tries[5] <= 4
         assert tries[6] >= 5
-        fleet.store.refuses_with = 0
+        fleet.store.error_status = 0
         fleet.configure(make_configuration(5))
-        await until(lambda: all(version_of(kernel) == 5 for kernel in entries), 2.0)
+        await wait_until(lambda: all(version_of(kernel) == 5 for kernel in entries), 2.0)
 
 
 class TestExpiredRegistrations:
@@ -350,13 +350,15 @@
         replica = await fleet.add_replica("desk-1", "desk")
         entries = [await fleet.add_entry(number) for number in (1, 2, 3)]
         cluster_states = [kernel.get("beliefs", ClusterState) for kernel in entries]
-        await until(lambda: all(k.get("peers", Peers).live_count() == 2 for k in entries))
+        await wait_until(lambda: all(k.get("peers", Peers).live_count() == 2 for k in entries))
         await trio.sleep(1.5)
-        fleet.store.refuses_with = 503
+        fleet.store.error_status = 503
         await trio.sleep(1.3)
         fleet.store.remove("servers/desk-1")
-        fleet.store.refuses_with = 0
-        await until(lambda: all(state.revision == fleet.store.revision for state in cluster_states))
+        fleet.store.error_status = 0
+        await wait_until(
+            lambda: all(state.revision == fleet.store.revision for state in cluster_states)
+        )
         assert all(state.servers_of("desk") for state in cluster_states)
         fleet.store.put("servers/desk-1", replica.entry())
         await trio.sleep(2.2)
@@ -384,8 +386,8 @@
         assert path.services.attempt_sender.pool.idle_count() > 0
         for number in (1, 2):
             small_fleet.store.remove(f"servers/desk-{number}")
-        await until(lambda: path.services.attempt_sender.pool.idle_count() == 0, 7.0)
-        await until(lambda: not path.services.fleet_view.outlier_ejection.suspects(0.0), 1.0)
+        await wait_until(lambda: path.services.attempt_sender.pool.idle_count() == 0, 7.0)
+        await wait_until(lambda: not path.services.fleet_view.outlier_ejection.suspects(0.0), 1.0)
 
 
 class TestShutdown:
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -12,7 +12,7 @@
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.model import BackpressureSignals
 from sassafrastally.stand_ins.documents import make_configuration, make_route
-from sassafrastally.stand_ins.platform_fleet import RESTART_S, until
+from sassafrastally.stand_ins.platform_fleet import RESTART_S, wait_until
 from sassafrastally.testing.harmful_fleet import (
     CRASHES,
     HARMFUL,
@@ -157,7 +157,7 @@
                 nursery.start_soon(
                     partial(fleet.call, "/note/x", body=self.HARMLESS, prompt="1000,1700")
                 )
-                await until(lambda: any(r.engine and r.engine.running for r in alive(fleet)))
+                await wait_until(lambda: any(r.engine and r.engine.running for r in alive(fleet)))
                 await trio.sleep(0.1)
                 busy = next(r for r in alive(fleet) if r.engine and r.engine.running)
                 await harm(busy)
--- a/packages/testing/tests/platform/test_path.py
+++ b/packages/testing/tests/platform/test_path.py
@@ -9,9 +9,9 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.calls import CallClient
+from sassafrastally.stand_ins.caller_requests import exchange_on, read_response, request_fields
 from sassafrastally.stand_ins.documents import KEY, make_configuration, make_route
-from sassafrastally.stand_ins.platform_fleet import until
-from sassafrastally.stand_ins.requests import exchange_on, read_answer, request_fields
+from sassafrastally.stand_ins.platform_fleet import wait_until
 
 
 async def response_during_a_lookup(fleet, prompt: str):
@@ -21,9 +21,11 @@
         desk.work_s = 1.0
     async with trio.open_nursery() as nursery:
         nursery.start_soon(fleet.call, "/look/x")
-        await until(lambda: any(desk.arrivals for desk in desks))
+        await wait_until(lambda: any(desk.received_requests for desk in desks))
         answer = await fleet.call("/dossier/x", prompt=prompt)
-        assert all(arrival.finished_s is None for desk in desks for arrival in desk.arrivals)
+        assert all(
+            arrival.finished_s is None for desk in desks for arrival in desk.received_requests
+        )
         nursery.cancel_scope.cancel()
     return answer
 
@@ -120,7 +122,7 @@
         routes = [make_route("book", "non_idempotent", "desk", timeoutMs=300, maxAttempts=1)]
         small_fleet.configure(make_configuration(2, routes=routes))
         for replica in small_fleet.replicas.values():
-            replica.is_mute = True
+            replica.is_unresponsive = True
         await trio.sleep(0.1)
         begin_s = trio.current_time()
         answer = await small_fleet.call("/book/x")
@@ -143,7 +145,7 @@
         entry would book twice, and so would the caller if it were told "not run".
         """
         for replica in small_fleet.replicas.values():
-            replica.resets_after_run = True
+            replica.resets_instead_of_response = True
         answer = await small_fleet.call("/book/x")
         assert answer.status == 502
         assert "retry-after" not in answer.headers
@@ -157,13 +159,13 @@
         assert float(answer.headers["retry-after"]) > 0
 
     async def test_lookup_with_a_lost_response_is_retried(self, small_fleet):
-        small_fleet.replicas["desk-1"].resets_after_run = True
+        small_fleet.replicas["desk-1"].resets_instead_of_response = True
         for _ in range(3):
             assert (await small_fleet.call("/look/x")).status == 200
 
     async def test_server_error_is_forwarded_with_its_seal(self, small_fleet):
         for replica in small_fleet.replicas.values():
-            replica.answers_with = 500
+            replica.response_status = 500
         answer = await small_fleet.call("/book/x")
         assert answer.status == 500
         assert answer.headers["replica-seal"].startswith("seal.")
@@ -175,7 +177,7 @@
         connection when it is reused and would be mistaken for the response to the next request.
         """
         for replica in small_fleet.replicas.values():
-            replica.extra_answer = True
+            replica.sends_extra_response = True
         for number in range(6):
             answer = await small_fleet.call(f"/look/{number}")
             assert json.loads(answer.body)["target"] == f"/look/{number}"
@@ -232,7 +234,7 @@
         request = h11.Request(method="POST", target="/note/x", headers=list(headers.items()))
         await connection.send(request, h11.EndOfMessage())
         await trio.sleep(2.0)
-        received = await read_answer(connection)
+        received = await read_response(connection)
         await connection.close()
         assert received.is_whole
         assert event_ids(received.body) == list(range(30))
--- a/packages/testing/tests/platform/test_quarantined_entries.py
+++ b/packages/testing/tests/platform/test_quarantined_entries.py
@@ -8,7 +8,7 @@
 from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.quarantine_service import QuarantineService
-from sassafrastally.stand_ins.platform_fleet import until
+from sassafrastally.stand_ins.platform_fleet import wait_until
 from sassafrastally.testing.harmful_fleet import HARMFUL, assert_refused, quarantine, start_fleet
 
 
@@ -28,7 +28,7 @@
         """
         await start_fleet(fleet)
         await quarantine(fleet)
-        await until(lambda: verdict_keys(fleet))
+        await wait_until(lambda: verdict_keys(fleet))
         for number in (1, 2, 3):
             fleet.kill_entry(number)
         await trio.sleep(0.05)
@@ -43,23 +43,23 @@
         get the verdict from its peers.
         """
         await start_fleet(fleet, entries=2)
-        fleet.store.refuses_with = 503
+        fleet.store.error_status = 503
         await quarantine(fleet)
         fleet.kill_entry(2)
         await trio.sleep(0.05)
-        fleet.store.refuses_with = 0
+        fleet.store.error_status = 0
         second = await fleet.add_entry(2)
-        fleet.store.refuses_with = 503
-        await until(lambda: second.get("quarantine", QuarantineService).count == 1, 5.0)
+        fleet.store.error_status = 503
+        await wait_until(lambda: second.get("quarantine", QuarantineService).count == 1, 5.0)
         await assert_refused(fleet, 2)
 
     async def test_verdict_is_recorded_once_the_store_is_back(self, fleet):
         await start_fleet(fleet, entries=2)
-        fleet.store.refuses_with = 503
+        fleet.store.error_status = 503
         await quarantine(fleet)
         assert not verdict_keys(fleet)
-        fleet.store.refuses_with = 0
-        await until(lambda: verdict_keys(fleet), 8.0)
+        fleet.store.error_status = 0
+        await wait_until(lambda: verdict_keys(fleet), 8.0)
         assert len(verdict_keys(fleet)) == 1
 
     async def test_verdict_survives_leases_that_expire_in_an_outage(self, fleet):
@@ -70,12 +70,12 @@
         """
         await start_fleet(fleet, entries=2)
         await quarantine(fleet)
-        await until(lambda: verdict_keys(fleet))
-        fleet.store.refuses_with = 503
+        await wait_until(lambda: verdict_keys(fleet))
+        fleet.store.error_status = 503
         await trio.sleep(2.5)
         fleet.store.remove(verdict_keys(fleet)[0])
-        fleet.store.refuses_with = 0
-        await until(lambda: verdict_keys(fleet), 15.0)
+        fleet.store.error_status = 0
+        await wait_until(lambda: verdict_keys(fleet), 15.0)
         await assert_refused(fleet, 2)
 
 
@@ -97,8 +97,8 @@
             for number in range(1, self.ENTRIES + 1):
                 nursery.start_soon(fleet.add_entry, number)
         peers = [kernel.get("peers", Peers) for kernel in fleet.kernels]
-        await until(lambda: all(p.live_count() == self.ENTRIES - 1 for p in peers), 20.0)
-        await until(lambda: all(p.receives_sums() for p in peers), 10.0)
+        await wait_until(lambda: all(p.live_count() == self.ENTRIES - 1 for p in peers), 20.0)
+        await wait_until(lambda: all(p.receives_sums() for p in peers), 10.0)
         fleet.harmful_bodies.add(HARMFUL)
         await fleet.call("/note/x", entry=2, body=HARMFUL, prompt="1000,340")
         await trio.sleep(0.5)
@@ -116,7 +116,7 @@
         """Guards against waiting 10 minutes for a verdict to expire after its cause is fixed."""
         await start_fleet(fleet, entries=2)
         await quarantine(fleet)
-        await until(lambda: verdict_keys(fleet))
+        await wait_until(lambda: verdict_keys(fleet))
         fleet.harmful_bodies.clear()
         fleet.store.remove(verdict_keys(fleet)[0])
         await trio.sleep(0.3)
--- a/packages/testing/tests/platform/test_passing_engine.py
+++ b/packages/testing/tests/platform/test_simulated_engine.py
@@ -8,17 +8,17 @@
 
 from sassafrastally.platform.adapter import PlatformDialect
 from sassafrastally.stand_ins.documents import ENGINE, make_configuration
-from sassafrastally.stand_ins.passing_engine import PassingEngine
+from sassafrastally.stand_ins.simulated_engine import SimulatedEngine
 
 
-def make_engine() -> PassingEngine:
+def make_engine() -> SimulatedEngine:
     """Return an engine with the performance parameters of the sample configuration."""
     document = json.dumps(make_configuration(1)).encode()
     services = PlatformDialect().decode_configuration(document).services
     profile = services["engines"].engine
     assert profile is not None
     assert profile.slots == ENGINE["slots"]
-    return PassingEngine(profile)
+    return SimulatedEngine(profile)
 
 
 class TestPrefillParts:
--- a/packages/testing/tests/soak/test_entry_process.py
+++ b/packages/testing/tests/soak/test_entry_process.py
@@ -12,8 +12,8 @@
 import trio
 
 from sassafrastally.core import Address
+from sassafrastally.stand_ins.caller_requests import request_fields
 from sassafrastally.stand_ins.platform_fleet import platform_fleet
-from sassafrastally.stand_ins.requests import request_fields
 from sassafrastally.testing.soak.entry_process import EntryProcess
 
 
