--- a/packages/proxy/benchmarks/quarantine.py
+++ b/packages/proxy/benchmarks/quarantine.py
@@ -22,8 +22,8 @@
     for number in range(4000):
         fingerprint = draw.getrandbits(64)
         for _ in range(1 + number % 3):
-            quarantine.note_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
-        quarantine.note_answered(draw.getrandbits(64), 0.01 * number)
+            quarantine.record_crash(fingerprint, draw.getrandbits(64), 0.01 * number, is_own=True)
+        quarantine.record_answered(draw.getrandbits(64), 0.01 * number)
     return quarantine
 
 
@@ -38,19 +38,19 @@
         print(f"fingerprint of {name:6} {taken_us:9.1f} us")
     calm = Quarantine()
     print(f"calm: verdict {median_us(lambda: calm.verdict(7, 1.0), 20_000):.2f} us, ", end="")
-    print(f"answer {median_us(lambda: calm.note_answered(7, 1.0), 20_000):.2f} us, ", end="")
-    print(f"news {median_us(lambda: calm.news(1.0, is_full=False), 20_000):.2f} us")
+    print(f"answer {median_us(lambda: calm.record_answered(7, 1.0), 20_000):.2f} us, ", end="")
+    print(f"news {median_us(lambda: calm.report(1.0, is_full=False), 20_000):.2f} us")
     tracemalloc.start()
     quarantine = quarantine_at_limits()
     kept_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
     print(f"full: {len(quarantine)} verdicts, {kept_kb:.0f} KB, ", end="")
     print(f"verdict {median_us(lambda: quarantine.verdict(7, 40.0), 2_000):.1f} us, ", end="")
-    print(f"news {median_us(lambda: quarantine.news(40.2, is_full=False), 200):.0f} us, ", end="")
-    print(f"told again {median_us(lambda: quarantine.news(41.0, is_full=True), 200):.0f} us")
-    news = quarantine.news(40.2, is_full=True)
+    print(f"news {median_us(lambda: quarantine.report(40.2, is_full=False), 200):.0f} us, ", end="")
+    print(f"told again {median_us(lambda: quarantine.report(41.0, is_full=True), 200):.0f} us")
+    report = quarantine.report(40.2, is_full=True)
     hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, {}, (), {}, {}, 0.0, 0.0, "here", 10)
-    sizes = [len(encode_hello(one)) for one in (hello, hello._replace(quarantine=news))]
+    sizes = [len(encode_hello(one)) for one in (hello, hello._replace(quarantine=report))]
     print(f"datagram: {sizes[0]} bytes without, {sizes[1]} with all that fits")
 
 
--- a/packages/proxy/src/sassafrastally/proxy/announcing.py
+++ b/packages/proxy/src/sassafrastally/proxy/address_registration.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Sequence
 
     from sassafrastally.core import Kernel, KvEntry, KvEvent
-    from sassafrastally.proxy.beliefs import Beliefs
+    from sassafrastally.proxy.cluster_state import ClusterState
     from sassafrastally.proxy.peer_table import PeerTable
     from sassafrastally.proxy.settings import ProxySettings
     from sassafrastally.proxy.store import Store
@@ -37,7 +37,7 @@
         The store.
     prefix
         Prefix of the entries' keys.
-    beliefs
+    cluster_state
         Local view of the store, for the log.
     table
         Receives the addresses.
@@ -49,7 +49,7 @@
         settings: ProxySettings,
         store: Store,
         prefix: str,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         table: PeerTable,
     ) -> None:
         self._kernel = kernel
@@ -57,26 +57,26 @@
         self._store = store
         self._prefix = prefix
         self._key = prefix + settings.host
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._table = table
         self._snapshot_read = trio.Event()
         self._lease_id = 0
 
-    def note_entries(self, entries: Iterable[KvEntry | KvEvent]) -> None:
+    def record_entries(self, entries: Iterable[KvEntry | KvEvent]) -> None:
         """Add the addresses found in store entries to the peer table."""
         now_s = self._kernel.clock.now_s()
         for entry in entries:
             if entry.key.startswith(self._prefix) and entry.value is not None:
                 host = entry.key.removeprefix(self._prefix)
-                self._table.know(host, entry.value.decode(errors="replace"), now_s)
+                self._table.add_address(host, entry.value.decode(errors="replace"), now_s)
 
-    def note_snapshot(self, entries: Sequence[KvEntry]) -> None:
+    def record_snapshot(self, entries: Sequence[KvEntry]) -> None:
         """Read the addresses from a full snapshot, this entry's own included.
 
         A process that restarts within a minute finds its earlier address and renews that lease.
         This takes one call that costs as much as a read, instead of a new lease and a write.
         """
-        self.note_entries(entries)
+        self.record_entries(entries)
         for entry in entries:
             if entry.key == self._key and not self._snapshot_read.is_set():
                 self._lease_id = entry.lease_id
@@ -100,7 +100,7 @@
             except (LeaseLost, KvConflict):
                 self._lease_id, pause_s = 0, 0.1
             except (KvUnavailable, MaybeApplied) as cause:
-                self._note_store_lost(cause)
+                self._record_store_lost(cause)
                 pause_s = min(ADDRESS_LEASE_S / 6, 2 * pause_s)
             await trio.sleep(pause_s * self._kernel.random.uniform(0.7, 1.0))
 
@@ -111,8 +111,10 @@
         await self._store.write([KvWrite(self._key, value, any_revision, lease_id)])
         return lease_id
 
-    def _note_store_lost(self, cause: Exception) -> None:
-        age_s = self._kernel.clock.now_s() - self._beliefs.confirmed_s
+    def _record_store_lost(self, cause: Exception) -> None:
+        age_s = self._kernel.clock.now_s() - self._cluster_state.confirmed_s
         self._kernel.events.emit(
-            StoreLost("announce", str(cause), self._beliefs.revision, round(min(age_s, 1e6), 3))
+            StoreLost(
+                "announce", str(cause), self._cluster_state.revision, round(min(age_s, 1e6), 3)
+            )
         )
--- a/packages/proxy/src/sassafrastally/proxy/attempt.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt.py
@@ -16,16 +16,16 @@
     from collections.abc import AsyncIterator, Callable
 
     from sassafrastally.core import Address
+    from sassafrastally.proxy.connection_pool import ConnectionPool
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.http_stream import HttpStream
     from sassafrastally.proxy.model import (
-        AnswerFacts,
-        AttemptTerms,
+        AttemptParameters,
         BackendServer,
-        RequestFacts,
-        ServerAsks,
+        BackpressureSignals,
+        RequestMetadata,
+        ResponseMetadata,
     )
-    from sassafrastally.proxy.pool import ConnectionPool
 
 TIMEOUT_DETAIL = "no data arrived before the timeout"
 
@@ -37,11 +37,11 @@
 class AttemptNotRun(CodedError):
     """The backend server has not run the request and never will."""
 
-    server_at_fault: Address | None = None
+    failed_server_address: Address | None = None
     """Address of another backend server that caused the failure."""
     is_unreachable = False
     """Whether no connection could be opened, so that nothing was sent."""
-    is_servers_fault = True
+    counts_against_server = True
     """Whether the failure counts against the server that was called."""
 
 
@@ -49,7 +49,7 @@
 class AttemptUnknown(CodedError):
     """The attempt got no complete response; the request may have run."""
 
-    is_silence = False
+    is_timeout = False
     """Whether the only failure was a timeout."""
 
 
@@ -60,7 +60,7 @@
     target: bytes
     headers: Headers
     body: bytes
-    facts: RequestFacts
+    facts: RequestMetadata
     arrived_s: float
 
 
@@ -77,7 +77,9 @@
         Information extracted from the header.
     """
 
-    def __init__(self, connection: HttpStream, response: h11.Response, facts: AnswerFacts) -> None:
+    def __init__(
+        self, connection: HttpStream, response: h11.Response, facts: ResponseMetadata
+    ) -> None:
         self.status = response.status_code
         self.headers: Headers = list(response.headers)
         self.facts = facts
@@ -113,13 +115,13 @@
         return body
 
 
-class Attempts:
+class AttemptSender:
     """Sends requests to backend servers."""
 
     def __init__(self, dialect: Dialect, pool: ConnectionPool) -> None:
         self._dialect = dialect
         self._pool = pool
-        self.on_answer: Callable[[BackendServer, ServerAsks], None] = lambda *_: None
+        self.on_answer: Callable[[BackendServer, BackpressureSignals], None] = lambda *_: None
         """Called for each response header, before the body is read."""
 
     @property
@@ -131,7 +133,7 @@
     async def send(
         self,
         request: Request,
-        terms: AttemptTerms,
+        terms: AttemptParameters,
         *,
         may_reuse: bool,
         waiting: trio.CancelScope | None = None,
@@ -175,12 +177,12 @@
             is_kept = _is_reusable(connection)
         finally:
             if is_kept:
-                await self._pool.put_back(terms.server, connection)
+                await self._pool.release(terms.server, connection)
             else:
                 await connection.close()
 
     async def _connection(self, server: BackendServer, may_reuse: bool) -> HttpStream:
-        if may_reuse and (kept := await self._pool.take(server)):
+        if may_reuse and (kept := await self._pool.acquire(server)):
             return kept
         try:
             return await self._pool.open(server)
@@ -189,7 +191,7 @@
             unreachable.is_unreachable = True
             raise unreachable from cause
 
-    def _head(self, request: Request, terms: AttemptTerms) -> h11.Request:
+    def _head(self, request: Request, terms: AttemptParameters) -> h11.Request:
         headers = [
             (name, value)
             for name, value in self._dialect.attempt_headers(request.headers, terms)
@@ -234,8 +236,8 @@
         while True:
             event = await _receive(connection)
             if isinstance(event, h11.Response):
-                facts = self._dialect.read_answer(event.status_code, list(event.headers))
-                self.on_answer(server, facts.asks)
+                facts = self._dialect.decode_response(event.status_code, list(event.headers))
+                self.on_answer(server, facts.backpressure)
                 return Answer(connection, event, facts)
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 raise AttemptUnknown(f"connection closed without a response to {request_id}")
@@ -244,7 +246,7 @@
 def _timeout_error() -> AttemptUnknown:
     """Return the error for an attempt that timed out waiting for data."""
     error = AttemptUnknown(TIMEOUT_DETAIL)
-    error.is_silence = True
+    error.is_timeout = True
     return error
 
 
@@ -263,9 +265,9 @@
     with trio.move_on_after(0.1):
         await answer.read()
     refusal = AttemptNotRun(f"rejected by the server with status {answer.status}")
-    refusal.server_at_fault = answer.facts.server_at_fault
+    refusal.failed_server_address = answer.facts.failed_server_address
     # Asking for a cool-down is no more a sign of a fault than being at capacity.
-    refusal.is_servers_fault = not answer.facts.asks.cool_down_s
+    refusal.counts_against_server = not answer.facts.backpressure.cool_down_s
     return refusal
 
 
--- a/packages/proxy/src/sassafrastally/proxy/moving.py
+++ b/packages/proxy/src/sassafrastally/proxy/attempt_migration.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 OVERDUE_FACTOR = 1.5
-OVERDUE_S = 0.1
+OVERDUE_TOLERANCE_S = 0.1
 """A first event is overdue after this factor of its predicted time plus this many seconds. The
 engines that prefill its prompt are then checked for slowness."""
 
@@ -18,7 +18,7 @@
 
 def is_overdue(elapsed_s: float, predicted_s: float) -> bool:
     """Return whether a first event is so late that its engines should be polled."""
-    return elapsed_s > OVERDUE_FACTOR * predicted_s + OVERDUE_S
+    return elapsed_s > OVERDUE_FACTOR * predicted_s + OVERDUE_TOLERANCE_S
 
 
 def remaining_s(elapsed_s: float, predicted_s: float, pace: float) -> float:
@@ -40,7 +40,7 @@
     return max(0.0, slow_from_now_s, slow_from_start_s)
 
 
-def is_worth_moving(left_s: float, predicted_elsewhere_s: float, goal_left_s: float) -> bool:
+def should_move_attempt(left_s: float, predicted_elsewhere_s: float, goal_left_s: float) -> bool:
     """Return whether a prompt that waits for its first event should be moved to other engines.
 
     Parameters
--- a/packages/proxy/src/sassafrastally/proxy/callers.py
+++ b/packages/proxy/src/sassafrastally/proxy/caller_listener.py
@@ -10,7 +10,7 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.attempt import Request
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.early_listener import BACKLOG
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
@@ -62,7 +62,7 @@
     problem: str
 
 
-class Callers(Service):
+class CallerListener(Service):
     """Accepts caller connections and serves their requests.
 
     Parameters
@@ -93,7 +93,7 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Start accepting connections."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._path = self.kernel.get("path", RequestPath)
         nursery.start_soon(self._listen, [await self._listener()], nursery)
 
@@ -159,7 +159,7 @@
             await connection.close()
 
     def _limits(self) -> RequestLimits:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         return configuration.limits if configuration else DEFAULT_LIMITS
 
     async def _serve_request(self, connection: HttpStream) -> bool:
@@ -267,7 +267,7 @@
             else:
                 raise ConnectionLost("connection closed before the end of the request")
         try:
-            facts = self._dialect.read_request(headers)
+            facts = self._dialect.decode_request(headers)
         except DocumentInvalid as cause:
             return BadRequest(MALFORMED, cause.detail)
         return Request(head.method, head.target, headers, bytes(body), facts, arrived_s)
@@ -275,7 +275,7 @@
     async def _reject(self, reply: Reply, rejected: BadRequest) -> None:
         self.kernel.events.emit(RequestMalformed(rejected.refusal.status, rejected.problem))
         body = refusal_body(rejected.refusal, "", rejected.problem)
-        await reply.whole(
+        await reply.send_complete(
             rejected.refusal.status,
             [(b"content-type", b"application/problem+json"), (b"connection", b"close")],
             body,
--- a/packages/proxy/src/sassafrastally/proxy/beliefs.py
+++ b/packages/proxy/src/sassafrastally/proxy/cluster_state.py
@@ -11,6 +11,7 @@
 import trio
 
 from sassafrastally.core import KvEntry, KvEvent, Service
+from sassafrastally.proxy.data_centre_pools import divide_by_data_centre
 from sassafrastally.proxy.dialect import DocumentInvalid
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import (
@@ -21,7 +22,6 @@
     ServerKnown,
     ServerLapsed,
 )
-from sassafrastally.proxy.pools import divide
 from sassafrastally.proxy.routes import RouteTable
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
     """By service and data centre, for services whose data centres are separate pools."""
 
 
-class Beliefs(Service):
+class ClusterState(Service):
     """The configuration in force and the known backend servers."""
 
     name: ClassVar[str] = "beliefs"
@@ -122,7 +122,7 @@
     def is_current(self, server: BackendServer) -> bool:
         """Return whether no newer incarnation of a backend server is known."""
         known = self._servers.get(server.server_id)
-        return known is None or known.life_id == server.life_id
+        return known is None or known.incarnation_id == server.incarnation_id
 
     def servers(self) -> list[BackendServer]:
         """Return all known backend servers, draining ones included."""
@@ -271,8 +271,8 @@
             return
         self._servers[server.server_id] = server
         self._index = None
-        if known is not None and known.life_id != server.life_id:
-            self._note_incarnation_ended(known)
+        if known is not None and known.incarnation_id != server.incarnation_id:
+            self._record_incarnation_ended(known)
         self.kernel.events.emit(
             ServerKnown(
                 server.server_id,
@@ -319,10 +319,10 @@
     def _drop(self, server: BackendServer, source: str) -> None:
         del self._servers[server.server_id]
         self._index = None
-        self._note_incarnation_ended(server)
+        self._record_incarnation_ended(server)
         self.kernel.events.emit(ServerGone(server.server_id, server.service, source))
 
-    def _note_incarnation_ended(self, server: BackendServer) -> None:
+    def _record_incarnation_ended(self, server: BackendServer) -> None:
         if self.on_incarnation_ended is not None:
             self.on_incarnation_ended(server)
 
@@ -343,9 +343,13 @@
             self._expire_lapsed()
         if self._index is None:
             by_service: dict[str, list[BackendServer]] = {}
-            for server in sorted(self._servers.values(), key=lambda one: server_hash(one.life_id)):
+            for server in sorted(
+                self._servers.values(), key=lambda one: server_hash(one.incarnation_id)
+            ):
                 if not server.is_draining:
                     by_service.setdefault(server.service, []).append(server)
-            pools = {service: divide(servers) for service, servers in by_service.items()}
+            pools = {
+                service: divide_by_data_centre(servers) for service, servers in by_service.items()
+            }
             self._index = _Index(by_service, pools)
         return self._index
--- a/packages/proxy/src/sassafrastally/proxy/pool.py
+++ b/packages/proxy/src/sassafrastally/proxy/connection_pool.py
@@ -39,9 +39,9 @@
         """Return a new connection; raises `ConnectionLost`."""
         return HttpStream(await connect(server.address, CONNECT_TIME_S), h11.CLIENT)
 
-    async def take(self, server: BackendServer) -> HttpStream | None:
+    async def acquire(self, server: BackendServer) -> HttpStream | None:
         """Return an idle connection that still looks usable, or ``None``."""
-        kept = self._idle.get(server.life_id, [])
+        kept = self._idle.get(server.incarnation_id, [])
         while kept:
             idle = kept.pop()
             # Unread input is either a second response to an earlier request or the end of the
@@ -52,9 +52,9 @@
             await idle.connection.close()
         return None
 
-    async def put_back(self, server: BackendServer, connection: HttpStream) -> None:
+    async def release(self, server: BackendServer, connection: HttpStream) -> None:
         """Return a connection to the pool after a complete response, or close it if unusable."""
-        kept = self._idle.setdefault(server.life_id, [])
+        kept = self._idle.setdefault(server.incarnation_id, [])
         if len(kept) >= MAX_IDLE_PER_SERVER or connection.has_unread_input():
             await connection.close()
             return
@@ -68,14 +68,14 @@
     async def close_idle(self) -> None:
         """Close the connections that have been idle for too long.
 
-        A server that has left gets no more requests, so `take` never closes its connections. Over
-        days of server replacements they would exhaust the process's file descriptors.
+        A server that has left gets no more requests, so `acquire` never closes its connections.
+        Over days of server replacements they would exhaust the process's file descriptors.
         """
         oldest_s = trio.current_time() - IDLE_TIME_S
-        for life_id, kept in list(self._idle.items()):
+        for incarnation_id, kept in list(self._idle.items()):
             expired = [idle for idle in kept if idle.since_s < oldest_s]
             kept[:] = [idle for idle in kept if idle.since_s >= oldest_s]
             if not kept:
-                del self._idle[life_id]
+                del self._idle[incarnation_id]
             for idle in expired:
                 await idle.connection.close()
--- a/packages/proxy/src/sassafrastally/proxy/crashes.py
+++ b/packages/proxy/src/sassafrastally/proxy/crash_detector.py
@@ -8,7 +8,7 @@
 import trio
 
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fingerprint import fingerprint_text
 from sassafrastally.proxy.log_events import ServerCrashed, ServerCrashPresumed
 from sassafrastally.proxy.metrics import SERVER_CRASHES
@@ -17,7 +17,7 @@
     from sassafrastally.core import Kernel
     from sassafrastally.proxy.liveness import Liveness
     from sassafrastally.proxy.model import BackendServer
-    from sassafrastally.proxy.quarantining import Quarantining
+    from sassafrastally.proxy.quarantine_service import QuarantineService
     from sassafrastally.proxy.task import RequestTask
 
 PROBE_WAIT_S = 0.15
@@ -42,7 +42,7 @@
     at_s: float
 
 
-class Crashes:
+class CrashDetector:
     """Detects and records server crashes in the background of requests.
 
     Parameters
@@ -62,18 +62,20 @@
         kernel: Kernel,
         nursery: trio.Nursery,
         liveness: Liveness,
-        quarantine: Quarantining,
+        quarantine: QuarantineService,
     ) -> None:
         self._kernel = kernel
         self._nursery = nursery
         self._liveness = liveness
         self._quarantine = quarantine
         self._backpressure = kernel.get("backpressure", Backpressure)
-        self._beliefs = kernel.get("beliefs", Beliefs)
-        self._beliefs.on_incarnation_ended = self._note_incarnation_ended
+        self._cluster_state = kernel.get("beliefs", ClusterState)
+        self._cluster_state.on_incarnation_ended = self._record_incarnation_ended
         self._unanswered: dict[str, deque[_Unanswered]] = {}
 
-    async def note_broken_off(self, server: BackendServer, task: RequestTask, cause: str) -> None:
+    async def record_broken_answer(
+        self, server: BackendServer, task: RequestTask, cause: str
+    ) -> None:
         """Record that an answer broke off; return once the server is probed or a timeout passes.
 
         Parameters
@@ -89,11 +91,11 @@
         self._nursery.start_soon(self._find, server, task, cause, is_known)
         with trio.move_on_after(PROBE_WAIT_S):
             await is_known.wait()
-        if self._quarantine.crashes_under(task.fingerprint):
+        if self._quarantine.crash_count(task.fingerprint):
             # Waits until the entries have exchanged which of their requests ran on that server.
-            await trio.sleep(self._quarantine.news_age_s)
+            await trio.sleep(self._quarantine.update_age_s)
 
-    def note_unanswered(self, server: BackendServer, task: RequestTask) -> None:
+    def record_missing_answer(self, server: BackendServer, task: RequestTask) -> None:
         """Record that an answer is missing or incomplete and that the server may have ended.
 
         A slow server and a cut link look the same, and a supervisor may hold the port of an ended
@@ -102,11 +104,11 @@
         """
         now_s = self._kernel.clock.now_s()
         self._unanswered = {
-            life_id: requests
-            for life_id, requests in self._unanswered.items()
+            incarnation_id: requests
+            for incarnation_id, requests in self._unanswered.items()
             if any(now_s - one.at_s < LEASE_EXPIRY_WINDOW_S for one in requests)
         }
-        requests = self._unanswered.setdefault(server.life_id, deque(maxlen=MAX_UNANSWERED))
+        requests = self._unanswered.setdefault(server.incarnation_id, deque(maxlen=MAX_UNANSWERED))
         requests.append(_Unanswered(task.fingerprint, task.request.facts.request_id, now_s))
 
     async def _find(
@@ -115,16 +117,16 @@
         try:
             finding = await self._liveness.find(server)
             if finding.is_refused and not self._was_leaving(server):
-                self._note_crash(server, task.fingerprint, task.request.facts.request_id, cause)
+                self._record_crash(server, task.fingerprint, task.request.facts.request_id, cause)
                 return
             if finding.is_dropped and not self._was_leaving(server):
                 self._presume_crash(server, task, cause)
-            self.note_unanswered(server, task)
+            self.record_missing_answer(server, task)
         finally:
             is_known.set()
 
-    def _note_incarnation_ended(self, server: BackendServer) -> None:
-        requests = self._unanswered.pop(server.life_id, ())
+    def _record_incarnation_ended(self, server: BackendServer) -> None:
+        requests = self._unanswered.pop(server.incarnation_id, ())
         if server.is_draining or self._backpressure.is_leaving(server):
             return
         now_s = self._kernel.clock.now_s()
@@ -132,16 +134,20 @@
             if now_s - one.at_s < LEASE_EXPIRY_WINDOW_S:
                 cause = "no complete answer, and the server's incarnation ended afterwards"
                 age_s = now_s - one.at_s
-                self._note_crash(server, one.fingerprint, one.request_id, cause, age_s=age_s)
+                self._record_crash(server, one.fingerprint, one.request_id, cause, age_s=age_s)
 
     def _was_leaving(self, server: BackendServer) -> bool:
         """Return whether a server was leaving or draining; its end is planned then."""
         if self._backpressure.is_leaving(server):
             return True
-        known = self._beliefs.server(server.server_id)
-        return known is not None and known.life_id == server.life_id and known.is_draining
-
-    def _note_crash(
+        known = self._cluster_state.server(server.server_id)
+        return (
+            known is not None
+            and known.incarnation_id == server.incarnation_id
+            and known.is_draining
+        )
+
+    def _record_crash(
         self,
         server: BackendServer,
         fingerprint: int,
@@ -153,10 +159,10 @@
         SERVER_CRASHES.add(1)
         text = fingerprint_text(fingerprint)
         self._kernel.events.emit(ServerCrashed(server.server_id, request_id, text, cause))
-        self._quarantine.note_crash(fingerprint, server, age_s=age_s)
+        self._quarantine.record_crash(fingerprint, server, age_s=age_s)
 
     def _presume_crash(self, server: BackendServer, task: RequestTask, cause: str) -> None:
         text = fingerprint_text(task.fingerprint)
         request_id = task.request.facts.request_id
         self._kernel.events.emit(ServerCrashPresumed(server.server_id, request_id, text, cause))
-        self._quarantine.note_crash(task.fingerprint, server, is_presumed=True)
+        self._quarantine.record_crash(task.fingerprint, server, is_presumed=True)
--- a/packages/proxy/src/sassafrastally/proxy/answering.py
+++ b/packages/proxy/src/sassafrastally/proxy/internal_endpoints.py
@@ -9,28 +9,28 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.callers import Callers
+from sassafrastally.proxy.caller_listener import CallerListener
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.http_stream import ConnectionLost, HttpStream, enable_keepalive
 from sassafrastally.proxy.log_events import ReadinessChanged
 from sassafrastally.proxy.metrics import metrics_page, start_metrics
 from sassafrastally.proxy.peer_messages import encode_delta
-from sassafrastally.proxy.quarantining import Quarantining
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.reply import Reply
-from sassafrastally.proxy.sight import Sight
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from sassafrastally.proxy.settings import ProxySettings
 
-    RequestHandler = Callable[[str], tuple[int, bytes]]
+    EndpointHandler = Callable[[str], tuple[int, bytes]]
 
 IDLE_TIME_S = 30.0
 """Idle timeout of a connection."""
 
 
-class Answering(Service):
+class InternalEndpoints(Service):
     """Serves readiness checks, metrics scrapes and the change requests of peers."""
 
     name: ClassVar[str] = "answering"
@@ -43,10 +43,10 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Start listening on the ports for readiness checks, peers and metrics."""
         self._backpressure = self.kernel.get("backpressure", Backpressure)
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
-        self._callers = self.kernel.get("callers", Callers)
-        self._sight = self.kernel.get("sight", Sight)
-        self._quarantine = self.kernel.get("quarantine", Quarantining)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
+        self._caller_listener = self.kernel.get("callers", CallerListener)
+        self._fleet_view = self.kernel.get("sight", FleetView)
+        self._quarantine = self.kernel.get("quarantine", QuarantineService)
         start_metrics()
         host = self._settings.host
         ready = self._settings.readiness_address
@@ -62,9 +62,9 @@
         isn't ready.
         """
         reason = "serving"
-        if self._callers.is_stopping:
+        if self._caller_listener.is_stopping:
             reason = "stopping"
-        elif self._beliefs.configuration is None:
+        elif self._cluster_state.configuration is None:
             reason = "no configuration is known"
         is_ready = reason == "serving"
         if is_ready != self._was_ready:
@@ -76,30 +76,30 @@
         _, _, revision = target.partition("after=")
         if not revision.isdigit():
             return 400, b"no revision"
-        return 200, encode_delta(self._beliefs.delta_after(int(revision)))
+        return 200, encode_delta(self._cluster_state.delta_after(int(revision)))
 
     def _handle_metrics(self, _target: str) -> tuple[int, bytes]:
         return 200, metrics_page(self._gauges()).encode()
 
     def _gauges(self) -> dict[str, float]:
         now_s = self.kernel.clock.now_s()
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         return {
             "configuration_version": configuration.version if configuration else 0,
-            "store_revision": self._beliefs.revision,
-            "beliefs_age_seconds": now_s - self._beliefs.confirmed_s,
-            "store_age_seconds": now_s - self._beliefs.store_answered_s,
-            "backend_servers": self._beliefs.server_count(),
+            "store_revision": self._cluster_state.revision,
+            "beliefs_age_seconds": now_s - self._cluster_state.confirmed_s,
+            "store_age_seconds": now_s - self._cluster_state.store_answered_s,
+            "backend_servers": self._cluster_state.server_count(),
             "quarantined_requests": self._quarantine.count,
-            "suspected_servers": len(self._sight.suspicion.suspects(now_s)),
-            "peers": self._sight.entries - 1,
-            "open_requests": self._callers.open_requests,
-            "attempts_in_progress": len(self._sight.ledger),
+            "suspected_servers": len(self._fleet_view.outlier_ejection.suspects(now_s)),
+            "peers": self._fleet_view.entries - 1,
+            "open_requests": self._caller_listener.open_requests,
+            "attempts_in_progress": len(self._fleet_view.ledger),
             **self._backpressure.gauges(),
         }
 
     async def _listen(
-        self, nursery: trio.Nursery, host: str, port: int, handler: RequestHandler
+        self, nursery: trio.Nursery, host: str, port: int, handler: EndpointHandler
     ) -> None:
         listeners = await trio.open_tcp_listeners(port, host=host)
 
@@ -109,7 +109,7 @@
         nursery.start_soon(trio.serve_listeners, serve, listeners)
 
 
-async def _serve(stream: trio.abc.Stream, handler: RequestHandler) -> None:
+async def _serve(stream: trio.abc.Stream, handler: EndpointHandler) -> None:
     enable_keepalive(stream)
     connection = HttpStream(stream, h11.SERVER)
     try:
@@ -120,7 +120,7 @@
                 if target is None:
                     return
                 status, body = handler(target)
-                await Reply(connection, lambda: False).whole(status, [], body)
+                await Reply(connection, lambda: False).send_complete(status, [], body)
                 if connection.http.our_state is not h11.DONE:
                     return
                 connection.http.start_next_cycle()
--- a/packages/proxy/src/sassafrastally/proxy/leaving.py
+++ b/packages/proxy/src/sassafrastally/proxy/leaving_servers.py
@@ -15,7 +15,7 @@
 
     from sassafrastally.proxy.load import Work
 
-NEWS_AGE_S = 1.0
+MAX_FRESH_AGE_S = 1.0
 """Age above which the view of the servers may miss one that is leaving; a watch returns at least
 once per second."""
 
@@ -34,7 +34,7 @@
 requests aren't known here yet."""
 
 
-def looks_leaving(work: Work, slots: int, news_age_s: float) -> bool:
+def is_probably_leaving(work: Work, slots: int, update_age_s: float) -> bool:
     """Return whether a refusal most likely means that the server is leaving.
 
     Parameters
@@ -43,11 +43,11 @@
         Known work at the server.
     slots
         Number of requests that it runs concurrently.
-    news_age_s
+    update_age_s
         Age of the view of the servers.
     """
-    is_loaded = work.requests + work.reading_requests >= FULL_SHARE * slots
-    return news_age_s > NEWS_AGE_S and not is_loaded
+    is_loaded = work.requests + work.prefill_requests >= FULL_SHARE * slots
+    return update_age_s > MAX_FRESH_AGE_S and not is_loaded
 
 
 class LeavingServers:
@@ -56,11 +56,11 @@
     def __init__(self) -> None:
         self._since_s: dict[str, float] = {}
 
-    def note(self, life_id: str, now_s: float) -> None:
+    def record(self, incarnation_id: str, now_s: float) -> None:
         """Record a refusal that looks like leaving."""
-        self._since_s[life_id] = now_s
+        self._since_s[incarnation_id] = now_s
 
-    def left_alone(self, now_s: float, confirmed_s: float) -> dict[str, float]:
+    def to_avoid(self, now_s: float, confirmed_s: float) -> dict[str, float]:
         """Return the servers to avoid, with the remaining seconds.
 
         Parameters
@@ -71,11 +71,14 @@
             When the view of the servers was last confirmed.
         """
         self._since_s = {
-            life_id: since_s
-            for life_id, since_s in self._since_s.items()
+            incarnation_id: since_s
+            for incarnation_id, since_s in self._since_s.items()
             if now_s - since_s < LEAVING_S and confirmed_s < since_s + CONFIRMATION_DELAY_S
         }
-        return {life_id: since_s + LEAVING_S - now_s for life_id, since_s in self._since_s.items()}
+        return {
+            incarnation_id: since_s + LEAVING_S - now_s
+            for incarnation_id, since_s in self._since_s.items()
+        }
 
 
 class DeclaredLeaving:
@@ -91,27 +94,28 @@
     def __bool__(self) -> bool:
         return bool(self._announced_s)
 
-    def __contains__(self, life_id: object) -> bool:
-        return life_id in self._announced_s
+    def __contains__(self, incarnation_id: object) -> bool:
+        return incarnation_id in self._announced_s
 
-    def note(self, life_id: str, now_s: float) -> bool:
+    def record(self, incarnation_id: str, now_s: float) -> bool:
         """Record a server's announcement; return whether it is the first."""
-        is_first = life_id not in self._announced_s
-        self._announced_s[life_id] = now_s
+        is_first = incarnation_id not in self._announced_s
+        self._announced_s[incarnation_id] = now_s
         return is_first
 
-    def told(self, now_s: float) -> dict[str, float]:
+    def to_announce(self, now_s: float) -> dict[str, float]:
         """Return the servers that peers should avoid, with the remaining seconds.
 
         After that time, a server is gone or has announced it to the peers itself.
         """
         left = {
-            life_id: said_s + LEAVING_S - now_s for life_id, said_s in self._announced_s.items()
+            incarnation_id: said_s + LEAVING_S - now_s
+            for incarnation_id, said_s in self._announced_s.items()
         }
-        return {life_id: left_s for life_id, left_s in left.items() if left_s > 0}
+        return {incarnation_id: left_s for incarnation_id, left_s in left.items() if left_s > 0}
 
     def forget_gone(self, known: Collection[str], now_s: float) -> None:
         """Remove unknown servers whose last announcement is older than `FORGOTTEN_S`."""
-        for life_id in self._announced_s.keys() - known:
-            if now_s - self._announced_s[life_id] > FORGOTTEN_S:
-                del self._announced_s[life_id]
+        for incarnation_id in self._announced_s.keys() - known:
+            if now_s - self._announced_s[incarnation_id] > FORGOTTEN_S:
+                del self._announced_s[incarnation_id]
--- a/packages/proxy/src/sassafrastally/proxy/path.py
+++ b/packages/proxy/src/sassafrastally/proxy/path.py
@@ -7,18 +7,17 @@
 import trio
 
 from sassafrastally.core import Service
-from sassafrastally.proxy.answer_services import AnswerServices
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.crashes import Crashes
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.crash_detector import CrashDetector
 from sassafrastally.proxy.fingerprint import fingerprint_text, request_fingerprint
-from sassafrastally.proxy.generation import Generation
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.log_events import CallerLeft, RequestFailed, RequestRefused, StreamBroken
 from sassafrastally.proxy.metrics import REFUSALS, REQUESTS
 from sassafrastally.proxy.model import RouteKind
-from sassafrastally.proxy.plain import PlainRequest
-from sassafrastally.proxy.quarantining import Quarantining
-from sassafrastally.proxy.reading_limits import KnownReadingLimits
+from sassafrastally.proxy.plain_request import PlainRequestHandler
+from sassafrastally.proxy.prefill_limits import PrefillLimitsCache
+from sassafrastally.proxy.quarantine_service import QuarantineService
 from sassafrastally.proxy.refusals import (
     MAY_HAVE_RUN,
     NO_ANSWER_IN_TIME,
@@ -29,17 +28,18 @@
     Refusal,
     refusal_body,
 )
+from sassafrastally.proxy.request_services import RequestServices
 from sassafrastally.proxy.reservations import Reservations
 from sassafrastally.proxy.routes import UnknownKey, choose_service, find_customer
-from sassafrastally.proxy.sight import Sight
+from sassafrastally.proxy.streaming_request import StreamingRequestHandler
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
 
 if TYPE_CHECKING:
-    from sassafrastally.proxy.attempt import Attempts, Request
-    from sassafrastally.proxy.budget import RetryBudget
+    from sassafrastally.proxy.attempt import AttemptSender, Request
     from sassafrastally.proxy.dialect import Dialect, Headers
     from sassafrastally.proxy.model import Configuration, Customer, Route
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.retry_budget import RetryBudget
 
 NO_CONFIGURATION_RETRY_AFTER_S = 0.3
 """Retry delay that callers are given while no configuration is loaded. A process loads it within a
@@ -72,10 +72,10 @@
     name: ClassVar[str] = "path"
     needs: ClassVar[tuple[str, ...]] = ("backpressure", "beliefs", "quarantine", "sight")
 
-    services: AnswerServices
+    services: RequestServices
     """Services shared by all request handlers; set in `start`."""
 
-    def __init__(self, dialect: Dialect, attempts: Attempts, budget: RetryBudget) -> None:
+    def __init__(self, dialect: Dialect, attempts: AttemptSender, budget: RetryBudget) -> None:
         self._dialect = dialect
         self._attempts = attempts
         self._budget = budget
@@ -83,23 +83,23 @@
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the required services and start the cleanup task."""
         self._started_s = self.kernel.clock.now_s()
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
-        sight = self.kernel.get("sight", Sight)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
+        fleet_view = self.kernel.get("sight", FleetView)
         backpressure = self.kernel.get("backpressure", Backpressure)
-        quarantine = self.kernel.get("quarantine", Quarantining)
-        self._attempts.on_answer = backpressure.note_answer
-        quarantine.on_verdict = sight.waiting_attempts.give_up_request
-        self.services = AnswerServices(
+        quarantine = self.kernel.get("quarantine", QuarantineService)
+        self._attempts.on_answer = backpressure.record_answer
+        quarantine.on_verdict = fleet_view.waiting_attempts.cancel_request
+        self.services = RequestServices(
             self.kernel,
             self._dialect,
             self._attempts,
             self._budget,
-            sight,
+            fleet_view,
             backpressure,
             quarantine,
-            Crashes(self.kernel, nursery, sight.liveness, quarantine),
-            Reservations(self._dialect, self.kernel, self._beliefs, backpressure, nursery),
-            KnownReadingLimits(),
+            CrashDetector(self.kernel, nursery, fleet_view.liveness, quarantine),
+            Reservations(self._dialect, self.kernel, self._cluster_state, backpressure, nursery),
+            PrefillLimitsCache(),
         )
         nursery.start_soon(self._clean_up)
 
@@ -108,23 +108,23 @@
             await trio.sleep(CLEANUP_INTERVAL_S)
             await self._attempts.pool.close_idle()
             await self.services.reservations.forget_gone(
-                {server.address for server in self._beliefs.servers()}
+                {server.address for server in self._cluster_state.servers()}
             )
-            self.services.sight.forget_gone()
+            self.services.fleet_view.forget_gone()
 
     async def answer(self, request: Request, reply: Reply) -> None:
         """Handle a request; raises `ConnectionLost` if the caller can't be reached."""
-        if self._beliefs.configuration is None:
+        if self._cluster_state.configuration is None:
             with trio.move_on_at(self._started_s + CONFIGURATION_WAIT_S):
-                await self._beliefs.configuration_known.wait()
-        configuration = self._beliefs.configuration
+                await self._cluster_state.configuration_known.wait()
+        configuration = self._cluster_state.configuration
         if configuration is None:
             await self._answer_locally(
                 request, reply, LocalReply(NO_CONFIGURATION, "", NO_CONFIGURATION_RETRY_AFTER_S)
             )
             return
         path = request.target.split(b"?", 1)[0].decode("latin-1")
-        route = self._beliefs.routes.find(request.facts.host, path)
+        route = self._cluster_state.routes.find(request.facts.host, path)
         if route is None:
             detail = f"version {configuration.version}"
             await self._answer_locally(request, reply, LocalReply(NO_ROUTE, detail))
@@ -149,7 +149,7 @@
             request, route, configuration, customer, service, _fingerprint(request, customer)
         )
         self._budget.count_request(service, request.arrived_s)
-        answerer = self._answerer(task, reply)
+        answerer = self._request_handler(task, reply)
         progress = answerer.progress
         local_reply: LocalReply | None = None
         with trio.move_on_at(task.deadline_s) as limit:
@@ -176,17 +176,19 @@
             request, reply, local_reply, route.name, progress.attempts, fingerprint
         )
 
-    def _answerer(self, task: RequestTask, reply: Reply) -> Generation | PlainRequest:
+    def _request_handler(
+        self, task: RequestTask, reply: Reply
+    ) -> StreamingRequestHandler | PlainRequestHandler:
         engine = task.configuration.services[task.service].engine
         prompt = task.request.facts.prompt
         if task.route.kind is RouteKind.STREAM and engine is not None and prompt is not None:
-            return Generation(self.services, task, reply, engine, prompt)
-        return PlainRequest(self.services, task, reply)
+            return StreamingRequestHandler(self.services, task, reply, engine, prompt)
+        return PlainRequestHandler(self.services, task, reply)
 
     def _record_unanswered(self, task: RequestTask, progress: Progress) -> None:
         """Record an attempt in flight when the caller disconnected or the deadline passed."""
         if progress.pending is not None:
-            self.services.crashes.note_unanswered(progress.pending, task)
+            self.services.crash_detector.record_missing_answer(progress.pending, task)
 
     def _record_broken_stream(
         self, task: RequestTask, progress: Progress, local_reply: LocalReply
@@ -242,9 +244,9 @@
     async def _send(self, request: Request, reply: Reply, local_reply: LocalReply) -> None:
         headers: Headers = [(b"content-type", b"application/problem+json")]
         if local_reply.retry_after_s is not None:
-            headers.append(self._dialect.retry_after(local_reply.retry_after_s))
+            headers.append(self._dialect.retry_after_header(local_reply.retry_after_s))
         body = refusal_body(local_reply.refusal, request.facts.request_id, local_reply.detail)
-        await reply.whole(local_reply.refusal.status, headers, body)
+        await reply.send_complete(local_reply.refusal.status, headers, body)
 
 
 def _fingerprint(request: Request, customer: Customer | None) -> int:
--- a/packages/proxy/src/sassafrastally/proxy/quarantine.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sassafrastally.proxy.crash_cases import PRESUMED_CRASH_KEPT_S, Crash, CrashCases
-from sassafrastally.proxy.quarantine_news import NO_NEWS, QuarantineNews, VerdictNews
+from sassafrastally.proxy.crash_records import PRESUMED_CRASH_KEPT_S, Crash, CrashRecords
+from sassafrastally.proxy.quarantine_exchange import EMPTY_REPORT, QuarantineReport, VerdictReport
 
 CRASHES_FOR_VERDICT = 3
 """Crashes after which a request is quarantined. Two are common for requests that run beside a
@@ -36,11 +36,11 @@
 """Retry delay for callers whose request was quarantined less than `VERDICT_SETTLED_S` ago; after
 it, it is known whether other requests explain the crashes."""
 
-NEWS_FRESH_S = 0.5
+REPORTS_FRESH_S = 0.5
 """How long new records are sent with every datagram; an entry that misses these receives them when
 older records are repeated."""
 
-NEWS_REPEATED_S = 30.0
+REPORTS_REPEATED_S = 30.0
 """How long records are repeated periodically, for entries that start or were cut off."""
 
 LIFTED_VERDICT_KEPT_S = 10.0
@@ -67,7 +67,7 @@
     is_presumed: bool = False
     """Whether it is based on crashes that aren't certain yet."""
 
-    def come_back_after_s(self, now_s: float) -> float:
+    def retry_delay_s(self, now_s: float) -> float:
         """Return when its caller should retry: soon while other requests may still explain it."""
         if now_s - self.since_s < VERDICT_SETTLED_S:
             return UNSETTLED_RETRY_AFTER_S
@@ -85,7 +85,7 @@
     """Verdicts and the crashes on which they are based."""
 
     def __init__(self) -> None:
-        self._cases = CrashCases()
+        self._cases = CrashRecords()
         self._verdicts: dict[int, Verdict] = {}
         self._ended: dict[int, Verdict] = {}
         """Ended verdicts, by fingerprint; one more crash quarantines these requests again."""
@@ -117,21 +117,21 @@
         self._end_verdicts(now_s)
         return list(self._verdicts.values())
 
-    def crashes_under(self, fingerprint: int, now_s: float) -> int:
+    def crash_count(self, fingerprint: int, now_s: float) -> int:
         """Return how many crashes count against a request."""
         return self._count_crashes(fingerprint, now_s, is_certain=False)
 
-    def suspects_with(self, fingerprint: int, now_s: float) -> dict[int, int]:
+    def crash_counts_with(self, fingerprint: int, now_s: float) -> dict[int, int]:
         """Return crash counts of a request and of those that ran on the same crashed servers."""
         crashes = {
-            other: self.crashes_under(other, now_s)
+            other: self.crash_count(other, now_s)
             for other in self._cases.requests_beside(fingerprint)
             if other not in self._verdicts
         }
         suspects = {other: count for other, count in crashes.items() if count}
-        return {fingerprint: self.crashes_under(fingerprint, now_s), **suspects}
+        return {fingerprint: self.crash_count(fingerprint, now_s), **suspects}
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: int,
         server: int,
@@ -159,7 +159,7 @@
             Whether it isn't certain yet that the server has crashed.
         """
         crash = Crash(now_s - age_s, now_s, is_own, is_presumed)
-        if not self._cases.note_crash(fingerprint, server, crash):
+        if not self._cases.record_crash(fingerprint, server, crash):
             return None
         self._end_verdicts(now_s)
         self._cases.evict_excess(lambda key: key == fingerprint or key in self._verdicts)
@@ -171,22 +171,22 @@
         certain = self._count_crashes(fingerprint, now_s, is_certain=True)
         if certain >= enough:
             return self._quarantine(fingerprint, now_s, QUARANTINE_S, certain)
-        presumed = self.crashes_under(fingerprint, now_s)
+        presumed = self.crash_count(fingerprint, now_s)
         if known is not None or presumed < enough:
             return None
         return self._quarantine(
             fingerprint, now_s, PRESUMED_CRASH_KEPT_S, presumed, is_presumed=True
         )
 
-    def note_answered(self, fingerprint: int, now_s: float) -> bool:
+    def record_answered(self, fingerprint: int, now_s: float) -> bool:
         """Record a complete answer to a request; return whether it had crashes or a verdict."""
-        self._cases.note_own_answer(fingerprint, now_s)
+        self._cases.record_own_answer(fingerprint, now_s)
         if fingerprint not in self._cases and fingerprint not in self._verdicts:
             return False
         self._apply_answer(fingerprint, now_s, now_s)
         return True
 
-    def apply_verdict(self, received: VerdictNews, now_s: float) -> Verdict | None:
+    def apply_verdict(self, received: VerdictReport, now_s: float) -> Verdict | None:
         """Apply a verdict received from another entry; return it if it is new.
 
         For a known verdict the earlier expiry counts: an entry that read it from the store doesn't
@@ -216,7 +216,9 @@
             self._end(verdict, now_s)
         return verdict is not None
 
-    def news(self, now_s: float, *, is_full: bool, includes_peers: bool = False) -> QuarantineNews:
+    def report(
+        self, now_s: float, *, is_full: bool, includes_peers: bool = False
+    ) -> QuarantineReport:
         """Return the records to send to the peers.
 
         Parameters
@@ -228,20 +230,20 @@
         includes_peers
             Whether to include records received from peers, on behalf of a data centre.
         """
-        max_age_s = NEWS_REPEATED_S if is_full else NEWS_FRESH_S
-        news = QuarantineNews(
-            self._cases.crash_news(now_s, max_age_s, includes_peers=includes_peers),
+        max_age_s = REPORTS_REPEATED_S if is_full else REPORTS_FRESH_S
+        report = QuarantineReport(
+            self._cases.crashes_to_send(now_s, max_age_s, includes_peers=includes_peers),
             self._verdict_news(now_s, is_full),
-            self._cases.answer_news(now_s, max_age_s, includes_peers=includes_peers),
+            self._cases.answers_to_send(now_s, max_age_s, includes_peers=includes_peers),
         )
-        return news if any(news) else NO_NEWS
+        return report if any(report) else EMPTY_REPORT
 
-    def take(self, news: QuarantineNews, now_s: float) -> list[Verdict]:
+    def apply(self, report: QuarantineReport, now_s: float) -> list[Verdict]:
         """Apply the records received from a peer; return the new verdicts."""
-        for answer in news.answers:
+        for answer in report.answers:
             self._apply_answer(answer.fingerprint, now_s - answer.age_s, now_s)
         found = [
-            self.note_crash(
+            self.record_crash(
                 crash.fingerprint,
                 crash.server,
                 now_s,
@@ -249,9 +251,9 @@
                 is_own=False,
                 is_presumed=crash.is_presumed,
             )
-            for crash in news.crashes
+            for crash in report.crashes
         ]
-        found += [self.apply_verdict(received, now_s) for received in news.verdicts]
+        found += [self.apply_verdict(received, now_s) for received in report.verdicts]
         return [verdict for verdict in found if verdict is not None]
 
     def forget_old(self, now_s: float) -> list[Lifted]:
@@ -321,7 +323,7 @@
         for key, verdict in list(self._verdicts.items()):
             if key not in causes and servers[key] and servers[key] <= explained:
                 del self._verdicts[key]
-                self._note_lifted(key, now_s)
+                self._record_lifted(key, now_s)
                 self._lifted.append(Lifted(verdict, "other requests explain its crashes"))
 
     def _end(self, verdict: Verdict, now_s: float) -> None:
@@ -331,9 +333,9 @@
         self._ended[verdict.fingerprint] = verdict
         if len(self._ended) > MAX_VERDICTS:
             del self._ended[next(iter(self._ended))]
-        self._note_lifted(verdict.fingerprint, now_s)
+        self._record_lifted(verdict.fingerprint, now_s)
 
-    def _note_lifted(self, fingerprint: int, now_s: float) -> None:
+    def _record_lifted(self, fingerprint: int, now_s: float) -> None:
         """Remember that a verdict has ended while peers may still send it."""
         self._lifted_s = {
             key: at_s
@@ -362,7 +364,7 @@
         if not self._cases.was_answered(fingerprint):
             return False
         is_all_known = len(self._cases.servers(fingerprint)) >= crashes
-        return is_all_known and self.crashes_under(fingerprint, now_s) < CRASHES_FOR_VERDICT
+        return is_all_known and self.crash_count(fingerprint, now_s) < CRASHES_FOR_VERDICT
 
     def _apply_answer(self, fingerprint: int, at_s: float, now_s: float) -> None:
         """Apply an answer, which clears the request: a harmful one is never answered."""
@@ -374,26 +376,26 @@
             return
         if at_s > verdict.since_s:
             del self._verdicts[fingerprint]
-            self._note_lifted(fingerprint, now_s)
+            self._record_lifted(fingerprint, now_s)
         else:
             self._lift_refuted(verdict, now_s)
 
     def _lift_refuted(self, verdict: Verdict, now_s: float) -> None:
         if self._is_refuted(verdict.fingerprint, verdict.crashes, now_s):
             del self._verdicts[verdict.fingerprint]
-            self._note_lifted(verdict.fingerprint, now_s)
+            self._record_lifted(verdict.fingerprint, now_s)
 
-    def _verdict_news(self, now_s: float, is_full: bool) -> tuple[VerdictNews, ...]:
+    def _verdict_news(self, now_s: float, is_full: bool) -> tuple[VerdictReport, ...]:
         if not self._verdicts:
             return ()
         found = [
             verdict
             for verdict in self.verdicts(now_s)
-            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < NEWS_FRESH_S)
+            if not verdict.is_presumed and (is_full or now_s - verdict.since_s < REPORTS_FRESH_S)
         ]
         latest = sorted(found, key=lambda verdict: -verdict.since_s)[:MAX_VERDICTS_SENT]
         return tuple(
-            VerdictNews(one.fingerprint, one.until_s - now_s, one.crashes) for one in latest
+            VerdictReport(one.fingerprint, one.until_s - now_s, one.crashes) for one in latest
         )
 
 
--- a/packages/proxy/src/sassafrastally/proxy/quarantining.py
+++ b/packages/proxy/src/sassafrastally/proxy/quarantine_service.py
@@ -9,7 +9,7 @@
 
 from sassafrastally.core import KvUnavailable, LeaseLost, MaybeApplied, Service
 from sassafrastally.core.kv import KvConflict, KvWrite
-from sassafrastally.proxy.beliefs import Beliefs
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.fingerprint import fingerprint_text, parse_fingerprint
 from sassafrastally.proxy.load import server_hash
 from sassafrastally.proxy.log_events import (
@@ -20,7 +20,7 @@
 )
 from sassafrastally.proxy.peers import Peers
 from sassafrastally.proxy.quarantine import QUARANTINE_S, Quarantine, Verdict
-from sassafrastally.proxy.quarantine_news import QuarantineNews, VerdictNews
+from sassafrastally.proxy.quarantine_exchange import QuarantineReport, VerdictReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -50,7 +50,7 @@
 KEY_ABSENT = 0
 
 
-class Quarantining(Service):
+class QuarantineService(Service):
     """The quarantine of one entry.
 
     Parameters
@@ -76,11 +76,11 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Load the records from the store and register with the peer exchange."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
         self._peers.quarantine = self
-        self._beliefs.on_quarantine_record = self._apply_record
-        for record in self._beliefs.quarantine_records():
+        self._cluster_state.on_quarantine_record = self._apply_record
+        for record in self._cluster_state.quarantine_records():
             self._apply_record(record)
         nursery.start_soon(self._record)
         nursery.start_soon(self._clean_up)
@@ -94,20 +94,20 @@
         """Return the verdict on a request, if one is in force."""
         return self._quarantine.verdict(fingerprint, self._now_s)
 
-    def crashes_under(self, fingerprint: int) -> int:
+    def crash_count(self, fingerprint: int) -> int:
         """Return how many crashes count against a request."""
-        return self._quarantine.crashes_under(fingerprint, self._now_s)
+        return self._quarantine.crash_count(fingerprint, self._now_s)
 
     @property
-    def news_age_s(self) -> float:
+    def update_age_s(self) -> float:
         """Maximum time until nearby entries know of each other's crash records."""
-        return self._peers.news_age_s
+        return self._peers.update_age_s
 
-    def suspects_with(self, fingerprint: int) -> dict[int, int]:
+    def crash_counts_with(self, fingerprint: int) -> dict[int, int]:
         """Return crash counts of a request and of those that ran on the same crashed servers."""
-        return self._quarantine.suspects_with(fingerprint, self._now_s)
+        return self._quarantine.crash_counts_with(fingerprint, self._now_s)
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: int,
         server: BackendServer,
@@ -116,44 +116,44 @@
         is_presumed: bool = False,
     ) -> None:
         """Record that a server crashed while it ran a request of this entry."""
-        verdict = self._quarantine.note_crash(
+        verdict = self._quarantine.record_crash(
             fingerprint,
-            server_hash(server.life_id),
+            server_hash(server.incarnation_id),
             self._now_s,
             age_s=age_s,
             is_own=True,
             is_presumed=is_presumed,
         )
         if verdict is not None:
-            self._note_verdict(verdict, "own", self._now_s)
-        self._peers.tell_at_once()
+            self._record_verdict(verdict, "own", self._now_s)
+        self._peers.send_now()
 
-    def note_answered(self, fingerprint: int) -> None:
+    def record_answered(self, fingerprint: int) -> None:
         """Record that a request got a complete answer."""
         was_quarantined = self.verdict(fingerprint) is not None
-        if not self._quarantine.note_answered(fingerprint, self._now_s):
+        if not self._quarantine.record_answered(fingerprint, self._now_s):
             return
-        self._peers.tell_at_once()
+        self._peers.send_now()
         if was_quarantined and self.verdict(fingerprint) is None:
-            self._note_lifted(fingerprint, "a server answered it")
+            self._record_lifted(fingerprint, "a server answered it")
 
-    def own_news(self, *, is_full: bool) -> QuarantineNews:
+    def own_report(self, *, is_full: bool) -> QuarantineReport:
         """Return the records that this entry has made itself."""
-        return self._quarantine.news(self._now_s, is_full=is_full)
+        return self._quarantine.report(self._now_s, is_full=is_full)
 
-    def all_news(self, *, is_full: bool) -> QuarantineNews:
+    def combined_report(self, *, is_full: bool) -> QuarantineReport:
         """Return all records, those of peers included."""
-        return self._quarantine.news(self._now_s, is_full=is_full, includes_peers=True)
+        return self._quarantine.report(self._now_s, is_full=is_full, includes_peers=True)
 
-    def take(self, news: QuarantineNews) -> bool:
+    def apply(self, report: QuarantineReport) -> bool:
         """Apply a peer's records; return whether any of them is new."""
         before = self._quarantine.version
         quarantined = {verdict.fingerprint for verdict in self._quarantine.verdicts(self._now_s)}
-        for verdict in self._quarantine.take(news, self._now_s):
-            self._note_verdict(verdict, "peer", self._peer_verdict_due_s())
-        for answer in news.answers:
+        for verdict in self._quarantine.apply(report, self._now_s):
+            self._record_verdict(verdict, "peer", self._peer_verdict_due_s())
+        for answer in report.answers:
             if answer.fingerprint in quarantined and self.verdict(answer.fingerprint) is None:
-                self._note_lifted(answer.fingerprint, "a server answered it for a peer")
+                self._record_lifted(answer.fingerprint, "a server answered it for a peer")
         return self._quarantine.version != before
 
     @property
@@ -166,7 +166,7 @@
         )
         return self._now_s + wait_s
 
-    def _note_verdict(self, verdict: Verdict, source: str, due_s: float) -> None:
+    def _record_verdict(self, verdict: Verdict, source: str, due_s: float) -> None:
         fingerprint = fingerprint_text(verdict.fingerprint)
         for_s = round(verdict.until_s - self._now_s, 1)
         self.kernel.events.emit(RequestQuarantined(fingerprint, verdict.crashes, for_s, source))
@@ -176,10 +176,10 @@
         if self.on_verdict is not None:
             self.on_verdict(verdict.fingerprint)
 
-    def _note_lifted(self, fingerprint: int, reason: str) -> None:
+    def _record_lifted(self, fingerprint: int, reason: str) -> None:
         self._due_s.pop(fingerprint, None)
         self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
-        if self._beliefs.has_key(self._key(fingerprint)):
+        if self._cluster_state.has_key(self._key(fingerprint)):
             self._due_s[fingerprint] = self._peer_verdict_due_s()
             self._news.set()
 
@@ -202,10 +202,10 @@
                 reason = "its record in the store was removed"
                 self.kernel.events.emit(QuarantineLifted(fingerprint_text(fingerprint), reason))
             return
-        received = VerdictNews(fingerprint, QUARANTINE_S, crashes)
+        received = VerdictReport(fingerprint, QUARANTINE_S, crashes)
         verdict = self._quarantine.apply_verdict(received, self._now_s)
         if verdict is not None:
-            self._note_verdict(verdict, "store", self._now_s)
+            self._record_verdict(verdict, "store", self._now_s)
 
     async def _record(self) -> None:
         """Write verdict records to the store when due, and remove those of lifted verdicts."""
@@ -225,7 +225,7 @@
         key = self._key(fingerprint)
         verdict = self.verdict(fingerprint)
         should_exist = verdict is not None
-        if should_exist == self._beliefs.has_key(key):
+        if should_exist == self._cluster_state.has_key(key):
             return
         try:
             if verdict is None:
@@ -254,10 +254,10 @@
         while True:
             await trio.sleep(CLEANUP_INTERVAL_S)
             for lifted in self._quarantine.forget_old(self._now_s):
-                self._note_lifted(lifted.verdict.fingerprint, lifted.reason)
+                self._record_lifted(lifted.verdict.fingerprint, lifted.reason)
             for verdict in self._quarantine.verdicts(self._now_s):
                 # The record's lease may have expired early during a store outage.
-                if not self._beliefs.has_key(self._key(verdict.fingerprint)):
+                if not self._cluster_state.has_key(self._key(verdict.fingerprint)):
                     self._due_s.setdefault(verdict.fingerprint, self._peer_verdict_due_s())
                     self._news.set()
 
--- a/packages/proxy/src/sassafrastally/proxy/reports.py
+++ b/packages/proxy/src/sassafrastally/proxy/reports.py
@@ -8,14 +8,14 @@
 
 from sassafrastally.core import Service
 from sassafrastally.proxy.backpressure import Backpressure, CallKind
-from sassafrastally.proxy.beliefs import Beliefs
 from sassafrastally.proxy.calls import CallClient
+from sassafrastally.proxy.cluster_state import ClusterState
 from sassafrastally.proxy.dialect import DocumentInvalid
+from sassafrastally.proxy.fleet_view import FleetView
 from sassafrastally.proxy.log_events import EngineSlow, EngineUsual, ReportFailed
 from sassafrastally.proxy.pace import SLOW_PACE, USUAL_PACE
 from sassafrastally.proxy.peers import Peers
-from sassafrastally.proxy.report_duty import has_report_duty, report_interval_s
-from sassafrastally.proxy.sight import Sight
+from sassafrastally.proxy.report_duty import polls_engine, report_interval_s
 from sassafrastally.proxy.store import AnswerLost
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_S = 0.1
 """Time between two checks for due reports: a third of the shortest report interval."""
 
-FAILURES_IN_A_ROW = 2
+MAX_CONSECUTIVE_FAILURES = 2
 """Consecutive failed reports after which an engine is suspected; a single one may be lost in
 transit. If the report was requested because a request got no response, one failure is enough."""
 
@@ -63,12 +63,12 @@
 
     async def start(self, nursery: trio.Nursery) -> None:
         """Look up the services used and start polling."""
-        self._beliefs = self.kernel.get("beliefs", Beliefs)
+        self._cluster_state = self.kernel.get("beliefs", ClusterState)
         self._peers = self.kernel.get("peers", Peers)
-        self._sight = self.kernel.get("sight", Sight)
+        self._fleet_view = self.kernel.get("sight", FleetView)
         self._backpressure = self.kernel.get("backpressure", Backpressure)
         self._nursery = nursery
-        self._sight.request_report = self._poll_for_request
+        self._fleet_view.request_report = self._poll_for_request
         nursery.start_soon(self._run)
 
     async def _run(self) -> None:
@@ -77,37 +77,37 @@
             engines = self._engines()
             await self._forget_gone(engines)
             for engine in self._engines_due(engines):
-                self._polled_s[engine.life_id] = self.kernel.clock.now_s()
+                self._polled_s[engine.incarnation_id] = self.kernel.clock.now_s()
                 self._nursery.start_soon(self._poll, engine)
-            self._sight.waiting_attempts.tell(self._sight.paces())
+            self._fleet_view.waiting_attempts.notify_slow_engines(self._fleet_view.paces())
 
     def _engines(self) -> list[BackendServer]:
-        configuration = self._beliefs.configuration
+        configuration = self._cluster_state.configuration
         if configuration is None:
             return []
         return [
             server
             for service in configuration.services.values()
             if service.engine is not None
-            for server in self._beliefs.servers_of(service.name)
+            for server in self._cluster_state.servers_of(service.name)
         ]
 
     def _engines_due(self, engines: list[BackendServer]) -> list[BackendServer]:
         now_s = self.kernel.clock.now_s()
         hosts = self._polling_hosts(engines)
-        doubted = self._sight.waiting_attempts.doubted(now_s)
-        paces = self._sight.paces()
+        doubted = self._fleet_view.waiting_attempts.overdue_servers(now_s)
+        paces = self._fleet_view.paces()
         due = []
         for engine in engines:
-            life_id = engine.life_id
-            is_doubted = life_id in doubted
+            incarnation_id = engine.incarnation_id
+            is_doubted = incarnation_id in doubted
             polling_hosts = hosts[engine.data_centre]
-            if not is_doubted and not has_report_duty(life_id, self._own_host, polling_hosts):
+            if not is_doubted and not polls_engine(incarnation_id, self._own_host, polling_hosts):
                 continue
-            pace = paces.get(life_id, USUAL_PACE)
-            limit_per_s = self._backpressure.limit_of(life_id)
+            pace = paces.get(incarnation_id, USUAL_PACE)
+            limit_per_s = self._backpressure.limit_of(incarnation_id)
             interval_s = report_interval_s(pace, limit_per_s, is_doubted=is_doubted)
-            is_due = now_s - self._polled_s.get(life_id, float("-inf")) >= interval_s
+            is_due = now_s - self._polled_s.get(incarnation_id, float("-inf")) >= interval_s
             if is_due and self._backpressure.is_open(engine):
                 due.append(engine)
         return due
@@ -128,41 +128,41 @@
 
     def _poll_for_request(self, engine: BackendServer, request_id: str) -> None:
         """Request an engine's report at once; an engine that doesn't answer is avoided."""
-        if engine.life_id not in self._polling and self._backpressure.is_open(engine):
+        if engine.incarnation_id not in self._polling and self._backpressure.is_open(engine):
             self._nursery.start_soon(self._poll, engine, request_id)
 
     async def _poll(self, engine: BackendServer, request_id: str = "") -> None:
         """Request an engine's report and record its pace, or the failure."""
-        self._polling.add(engine.life_id)
+        self._polling.add(engine.incarnation_id)
         try:
             await self._exchange(engine, request_id)
         finally:
-            self._polling.discard(engine.life_id)
+            self._polling.discard(engine.incarnation_id)
 
     async def _exchange(self, engine: BackendServer, request_id: str) -> None:
         client = self._calls.setdefault(engine.address, CallClient(engine.address))
-        call = self._dialect.report_call(engine)
+        call = self._dialect.make_report_call(engine)
         self._backpressure.count_request(engine, CallKind.REPORT)
         try:
             status, body = await client.exchange(
                 call.method, call.target, call.headers, call.body, REPORT_TIMEOUT_S
             )
-            report = self._dialect.read_report(status, body)
+            report = self._dialect.decode_report(status, body)
         except (AnswerLost, DocumentInvalid) as cause:
             self.kernel.events.emit(ReportFailed(engine.server_id, cause.detail, request_id))
-            failures = self._failures.get(engine.life_id, 0) + 1
-            self._failures[engine.life_id] = failures
+            failures = self._failures.get(engine.incarnation_id, 0) + 1
+            self._failures[engine.incarnation_id] = failures
             if self._is_probably_cut_off():
                 return
-            if request_id or failures >= FAILURES_IN_A_ROW:
+            if request_id or failures >= MAX_CONSECUTIVE_FAILURES:
                 reason = f"no report: {cause.detail}"
-                self._sight.note_failure(engine, reason, request_id, is_clear=True)
+                self._fleet_view.record_failure(engine, reason, request_id, is_conclusive=True)
             return
-        self._failures.pop(engine.life_id, None)
+        self._failures.pop(engine.incarnation_id, None)
         if report.born_ms is not None and report.born_ms != engine.born_ms:
             return  # Another incarnation answers; its store record will follow.
-        was_slow = engine.life_id in self._sight.paces()
-        self._sight.note_pace(engine, report.pace)
+        was_slow = engine.incarnation_id in self._fleet_view.paces()
+        self._fleet_view.record_pace(engine, report.pace)
         if report.pace >= SLOW_PACE and not was_slow:
             self.kernel.events.emit(EngineSlow(engine.server_id, report.pace))
         elif report.pace < SLOW_PACE and was_slow:
@@ -176,10 +176,10 @@
         return len(self._failures) > MAX_FAILING_SHARE * len(self._polled_s)
 
     async def _forget_gone(self, engines: list[BackendServer]) -> None:
-        known = {engine.life_id for engine in engines}
-        for life_id in self._polled_s.keys() - known:
-            del self._polled_s[life_id]
-            self._failures.pop(life_id, None)
+        known = {engine.incarnation_id for engine in engines}
+        for incarnation_id in self._polled_s.keys() - known:
+            del self._polled_s[incarnation_id]
+            self._failures.pop(incarnation_id, None)
         addresses = {engine.address for engine in engines}
         for address in self._calls.keys() - addresses:
             await self._calls.pop(address).close()
--- a/packages/proxy/src/sassafrastally/proxy/answerer.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_handler.py
@@ -4,26 +4,26 @@
 
 from typing import TYPE_CHECKING
 
-from sassafrastally.proxy.apart import dealt_server
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
 from sassafrastally.proxy.backpressure import CallKind
 from sassafrastally.proxy.fingerprint import fingerprint_text
 from sassafrastally.proxy.log_events import AttemptFailed, RequestPlaced, RetryBudgetSpent
 from sassafrastally.proxy.metrics import ATTEMPTS_FAILED
-from sassafrastally.proxy.model import AttemptTerms
+from sassafrastally.proxy.model import AttemptParameters
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, QUARANTINED, SERVERS_LIMITED, TURNED_AWAY
+from sassafrastally.proxy.suspect_placement import assigned_servers
 from sassafrastally.proxy.task import LocalReply, Progress, RequestTask
-from sassafrastally.proxy.turning_away import LEAST_S, come_back_after_s
+from sassafrastally.proxy.turning_away import MIN_RETRY_DELAY_S, retry_delay_s
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from sassafrastally.proxy.answer_services import AnswerServices
     from sassafrastally.proxy.lanes import ServerView
     from sassafrastally.proxy.model import BackendServer, Helper
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.refusals import Refusal
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.request_services import RequestServices
 
 SERVER_ERROR_STATUS = 500
 """Lowest HTTP status that means that the backend server failed."""
@@ -36,7 +36,7 @@
 that this VM's network is broken rather than the servers."""
 
 
-class Answerer:
+class RequestHandler:
     """Handles one request by sending attempts to backend servers.
 
     Parameters
@@ -49,7 +49,7 @@
         Sends the response to the caller.
     """
 
-    def __init__(self, services: AnswerServices, task: RequestTask, reply: Reply) -> None:
+    def __init__(self, services: RequestServices, task: RequestTask, reply: Reply) -> None:
         self.progress = Progress()
         self._services = services
         self._task = task
@@ -75,13 +75,13 @@
         """
         service = self._task.service
         time_left_s = self._task.time_left_s(self._clock.now_s())
-        available_in_s = self._services.sight.come_back_s(service, time_left_s)
+        available_in_s = self._services.fleet_view.available_in_s(service, time_left_s)
         if available_in_s is None:
             random_share = self._services.kernel.random.random()
-            return LocalReply(refusal, detail, come_back_after_s(time_left_s, random_share))
+            return LocalReply(refusal, detail, retry_delay_s(time_left_s, random_share))
         refusal = TURNED_AWAY if self.progress.attempts else SERVERS_LIMITED
         detail = f"service {service}: the next one takes a request in {available_in_s:.2f} s"
-        return LocalReply(refusal, detail, max(LEAST_S, available_in_s))
+        return LocalReply(refusal, detail, max(MIN_RETRY_DELAY_S, available_in_s))
 
     def _quarantine_reply(self) -> LocalReply | None:
         """Return the local reply if the request is quarantined."""
@@ -97,23 +97,23 @@
         )
         if self.progress.may_have_run:
             return LocalReply(MAY_HAVE_RUN, detail)
-        return LocalReply(QUARANTINED, detail, verdict.come_back_after_s(now_s))
+        return LocalReply(QUARANTINED, detail, verdict.retry_delay_s(now_s))
 
     def _is_suspect(self) -> bool:
         """Return whether a server has crashed while running the request, whatever the cause."""
-        return self._services.quarantine.crashes_under(self._task.fingerprint) > 0
+        return self._services.quarantine.crash_count(self._task.fingerprint) > 0
 
     def _isolate(self, views: Sequence[ServerView]) -> list[ServerView]:
         """Return the server for a suspect request, isolated from requests that crashed with it."""
         fingerprint = self._task.fingerprint
-        return dealt_server(
-            views, fingerprint, self._services.quarantine.suspects_with(fingerprint)
+        return assigned_servers(
+            views, fingerprint, self._services.quarantine.crash_counts_with(fingerprint)
         )
 
     def _record_success(self, status: int) -> None:
         """Record a complete, successful response: the request doesn't crash servers."""
         if status < NON_SUCCESS_STATUS:
-            self._services.quarantine.note_answered(self._task.fingerprint)
+            self._services.quarantine.record_answered(self._task.fingerprint)
 
     def _can_fail_over(self) -> bool:
         """Return whether the request may still fail over to another server."""
@@ -126,9 +126,9 @@
         begin_s: float,
         last_event_id: int | None,
         helpers: tuple[Helper, ...] = (),
-    ) -> AttemptTerms:
+    ) -> AttemptParameters:
         """Return the parameters of an attempt."""
-        return AttemptTerms(
+        return AttemptParameters(
             server=server,
             time_left_s=self._task.time_left_s(begin_s),
             customer=self._task.customer_name,
@@ -139,7 +139,7 @@
     def _begin_attempt(self, server: BackendServer, helpers: Sequence[BackendServer] = ()) -> None:
         self.progress.attempts += 1
         self.progress.sent += 1
-        self.progress.tried.add(server.life_id)
+        self.progress.tried.add(server.incarnation_id)
         self.progress.pending = server
         self._services.backpressure.count_request(server, CallKind.ATTEMPT)
         for helper in helpers:
@@ -160,15 +160,15 @@
         service = self._task.service
         now_s = self._clock.now_s()
         budget = self._services.budget
-        entries = self._services.sight.entries
-        if budget.take(service, entries, now_s):
+        entries = self._services.fleet_view.entries
+        if budget.try_spend(service, entries, now_s):
             return True
         self._emit(
             RetryBudgetSpent(
                 self._request_id,
                 service,
-                budget.repeats(service, now_s),
-                round(budget.allowed(service, entries, now_s), 1),
+                budget.retry_count(service, now_s),
+                round(budget.retry_allowance(service, entries, now_s), 1),
             )
         )
         return False
@@ -189,16 +189,20 @@
         self._log_failure(server, begin_s, cause.detail, is_proved_not_run=True)
         # Only the helpers of this attempt can be at fault: a server that has since restarted at the
         # same address isn't.
-        at_fault = [helper for helper in helpers if helper.address == cause.server_at_fault]
+        at_fault = [helper for helper in helpers if helper.address == cause.failed_server_address]
         for helper in at_fault:
             reason = "reported as the cause by another server"
-            self._services.sight.note_refusal(helper, reason, self._request_id, is_clear=True)
-        if at_fault or not cause.is_servers_fault:
+            self._services.fleet_view.record_refusal(
+                helper, reason, self._request_id, is_conclusive=True
+            )
+        if at_fault or not cause.counts_against_server:
             return
         if cause.is_unreachable:
-            self._services.sight.note_failure(server, cause.detail, self._request_id, is_clear=True)
+            self._services.fleet_view.record_failure(
+                server, cause.detail, self._request_id, is_conclusive=True
+            )
         else:
-            self._services.sight.note_refusal(server, cause.detail, self._request_id)
+            self._services.fleet_view.record_refusal(server, cause.detail, self._request_id)
 
     async def _record_unknown(
         self, server: BackendServer, begin_s: float, cause: AttemptUnknown | str
@@ -206,16 +210,16 @@
         """Record an attempt that may have run and count it as a failure of its server."""
         detail = cause if isinstance(cause, str) else cause.detail
         self._record_abandoned(server, begin_s, detail)
-        sight, crashes = self._services.sight, self._services.crashes
+        fleet_view, crash_detector = self._services.fleet_view, self._services.crash_detector
         if isinstance(cause, str):
-            sight.note_failure(server, detail, self._request_id)
-            crashes.note_unanswered(server, self._task)
-        elif cause.is_silence:
-            sight.note_silence(server, self._request_id)
-            crashes.note_unanswered(server, self._task)
+            fleet_view.record_failure(server, detail, self._request_id)
+            crash_detector.record_missing_answer(server, self._task)
+        elif cause.is_timeout:
+            fleet_view.record_timeout(server, self._request_id)
+            crash_detector.record_missing_answer(server, self._task)
         else:
-            sight.note_failure(server, detail, self._request_id)
-            await crashes.note_broken_off(server, self._task, detail)
+            fleet_view.record_failure(server, detail, self._request_id)
+            await crash_detector.record_broken_answer(server, self._task, detail)
 
     def _record_abandoned(self, server: BackendServer, begin_s: float, detail: str) -> None:
         """Record and log an attempt that may have run."""
@@ -254,8 +258,8 @@
                 placement.lanes if placement else "",
                 round(placement.predicted_s, 4) if placement else 0.0,
                 round(task.deadline_s - self._clock.now_s(), 4),
-                round(self._services.sight.beliefs_age_s, 4),
-                self._services.sight.entries - 1,
+                round(self._services.fleet_view.beliefs_age_s, 4),
+                self._services.fleet_view.entries - 1,
                 fingerprint_text(task.fingerprint),
             )
         )
--- a/packages/proxy/src/sassafrastally/proxy/answer_services.py
+++ b/packages/proxy/src/sassafrastally/proxy/request_services.py
@@ -6,37 +6,37 @@
 
 if TYPE_CHECKING:
     from sassafrastally.core import Kernel
-    from sassafrastally.proxy.attempt import Attempts
+    from sassafrastally.proxy.attempt import AttemptSender
     from sassafrastally.proxy.backpressure import Backpressure
-    from sassafrastally.proxy.budget import RetryBudget
-    from sassafrastally.proxy.crashes import Crashes
+    from sassafrastally.proxy.crash_detector import CrashDetector
     from sassafrastally.proxy.dialect import Dialect
-    from sassafrastally.proxy.quarantining import Quarantining
-    from sassafrastally.proxy.reading_limits import KnownReadingLimits
+    from sassafrastally.proxy.fleet_view import FleetView
+    from sassafrastally.proxy.prefill_limits import PrefillLimitsCache
+    from sassafrastally.proxy.quarantine_service import QuarantineService
     from sassafrastally.proxy.reservations import Reservations
-    from sassafrastally.proxy.sight import Sight
+    from sassafrastally.proxy.retry_budget import RetryBudget
 
 
-class AnswerServices(NamedTuple):
+class RequestServices(NamedTuple):
     """Services shared by all request handlers."""
 
     kernel: Kernel
     """Clock, random number generator and log."""
     dialect: Dialect
     """Translates headers."""
-    attempts: Attempts
+    attempt_sender: AttemptSender
     """Sends requests to backend servers."""
     budget: RetryBudget
     """Retry budget shared by all requests."""
-    sight: Sight
+    fleet_view: FleetView
     """Current view of the backend servers."""
     backpressure: Backpressure
     """Rate limits, cool-downs and departures that backend servers announce."""
-    quarantine: Quarantining
+    quarantine: QuarantineService
     """Requests that are no longer run because they crash servers."""
-    crashes: Crashes
+    crash_detector: CrashDetector
     """Checks whether servers that interrupted a response have crashed."""
     reservations: Reservations
     """Memory reservations on engines."""
-    limits: KnownReadingLimits
+    limits: PrefillLimitsCache
     """Limits on how much prefill may lengthen the engines' passes."""
--- a/packages/proxy/src/sassafrastally/proxy/reservations.py
+++ b/packages/proxy/src/sassafrastally/proxy/reservations.py
@@ -28,7 +28,7 @@
 
     from sassafrastally.core import Kernel
     from sassafrastally.proxy.backpressure import Backpressure
-    from sassafrastally.proxy.beliefs import Beliefs
+    from sassafrastally.proxy.cluster_state import ClusterState
     from sassafrastally.proxy.dialect import Call, Dialect
     from sassafrastally.proxy.model import BackendServer
     from sassafrastally.proxy.plan import Holding
@@ -65,7 +65,7 @@
         Translates reservation calls.
     kernel
         Clock, random source and log.
-    beliefs
+    cluster_state
         Tells whether an engine has restarted since the reservation.
     backpressure
         Counts the calls towards the servers' limits.
@@ -77,12 +77,12 @@
         self,
         dialect: Dialect,
         kernel: Kernel,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         backpressure: Backpressure,
         nursery: trio.Nursery,
     ) -> None:
         self._dialect = dialect
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._backpressure = backpressure
         self._kernel = kernel
         self._nursery = nursery
@@ -90,7 +90,7 @@
 
     @asynccontextmanager
     async def hold(self, holdings: Sequence[Holding]) -> AsyncIterator[Mapping[str, str]]:
-        """Hold memory on all of these engines; yield the reservation ID by `life_id`.
+        """Hold memory on all of these engines; yield the reservation ID by `incarnation_id`.
 
         Raises
         ------
@@ -111,7 +111,7 @@
             # the attempt in an exception group, which no caller expects.
             self._nursery.start_soon(self._renew, reservations, renewing)
             yield {
-                reservation.holding.server.life_id: reservation.reservation_id
+                reservation.holding.server.incarnation_id: reservation.reservation_id
                 for reservation in reservations
             }
         finally:
@@ -135,15 +135,17 @@
                 nursery.start_soon(reserve, reservation)
         if any(outcome is not ReservationOutcome.HELD for outcome in outcomes):
             failure = AttemptNotRun("memory could not be reserved on all required engines")
-            failure.is_servers_fault = False
+            failure.counts_against_server = False
             raise failure
 
     async def _reserve(self, reservation: _Reservation) -> ReservationOutcome:
         holding, reservation_id = reservation
-        call = self._dialect.reserve_call(holding.server, reservation_id, holding.tokens, LEASE_S)
+        call = self._dialect.make_reserve_call(
+            holding.server, reservation_id, holding.tokens, LEASE_S
+        )
         try:
             status, body = await self._send(holding.server, call)
-            outcome = self._dialect.read_reservation(status, body)
+            outcome = self._dialect.decode_reservation(status, body)
         except AnswerLost:
             outcome = ReservationOutcome.UNKNOWN
         if outcome is not ReservationOutcome.HELD:
@@ -169,14 +171,14 @@
                             renewal_round % LIMITED_RENEWAL_STRIDE == 1
                             or self._backpressure.is_open(server)
                         )
-                        if is_due and self._beliefs.is_current(server):
+                        if is_due and self._cluster_state.is_current(server):
                             nursery.start_soon(self._reserve, reservation)
 
     async def _release(self, reservation: _Reservation) -> None:
         holding, reservation_id = reservation
         if not self._backpressure.is_open(holding.server):
             return  # The server accepts no requests now; the lease expires.
-        call = self._dialect.release_call(holding.server, reservation_id)
+        call = self._dialect.make_release_call(holding.server, reservation_id)
         status = 0
         for _ in range(MAX_RELEASE_ATTEMPTS):
             try:
--- a/packages/proxy/src/sassafrastally/proxy/generation.py
+++ b/packages/proxy/src/sassafrastally/proxy/streaming_request.py
@@ -9,69 +9,69 @@
 import trio
 
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.answerer import SERVER_ERROR_STATUS, Answerer
 from sassafrastally.proxy.attempt import AttemptNotRun, AttemptUnknown
+from sassafrastally.proxy.attempt_migration import remaining_s, should_move_attempt
+from sassafrastally.proxy.data_centre_pools import fits_in_local_data_centre
 from sassafrastally.proxy.event_stream import EventSplitter, StreamEvent
-from sassafrastally.proxy.lanes import Scatter, lane_of
-from sassafrastally.proxy.load import Flight, Lane
+from sassafrastally.proxy.lanes import PlacementRandomizer, choose_lane
+from sassafrastally.proxy.load import InFlightAttempt, Lane
 from sassafrastally.proxy.log_events import RequestAnswered
 from sassafrastally.proxy.metrics import count_answer
 from sassafrastally.proxy.model import Helper
-from sassafrastally.proxy.moving import is_worth_moving, remaining_s
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.plan import most_prompt_tokens
-from sassafrastally.proxy.pools import stays_near
+from sassafrastally.proxy.plan import max_prompt_tokens
 from sassafrastally.proxy.refusals import MAY_HAVE_RUN, NO_ROOM, NO_SERVER, TOO_LONG, TURNED_AWAY
-from sassafrastally.proxy.slowness import slow_event_time_s
+from sassafrastally.proxy.request_handler import SERVER_ERROR_STATUS, RequestHandler
+from sassafrastally.proxy.slow_event_detection import slow_event_time_s
 from sassafrastally.proxy.task import LocalReply, RequestTask
-from sassafrastally.proxy.turning_away import is_hopeless
+from sassafrastally.proxy.turning_away import would_miss_deadline
 from sassafrastally.proxy.waiting_attempts import WaitingAttempt
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from sassafrastally.proxy.answer_services import AnswerServices
     from sassafrastally.proxy.attempt import Answer
     from sassafrastally.proxy.lanes import ServerView
-    from sassafrastally.proxy.model import EngineFigures, PromptSize
+    from sassafrastally.proxy.model import EngineProfile, PromptSize
     from sassafrastally.proxy.plan import Placement
     from sassafrastally.proxy.reply import Reply
+    from sassafrastally.proxy.request_services import RequestServices
 
-PATIENCE_S = 2.0
-PATIENCE_GOALS = 4.0
-PATIENCE_PAUSES = 8.0
+CALLER_TIMEOUT_S = 2.0
+CALLER_TIMEOUT_GOALS = 4.0
+CALLER_TIMEOUT_PAUSES = 8.0
 """Callers close a stream after a silence of two seconds, four times the goal for the first event or
 eight times the goal for a pause, whichever is longest."""
 
-SILENCE_SHARE = 0.65
+SILENCE_TIMEOUT_SHARE = 0.65
 """Share of the caller's timeout after which an attempt at a silent engine is abandoned if another
 engine may be tried. The rest is left for the first event of the other engine."""
 
-LATE_FACTOR = 1.5
-LATEST_SHARE = 0.95
-"""Timeout for the first event: `LATE_FACTOR` times the predicted time, but no more than
-`LATEST_SHARE` of the caller's timeout."""
+FIRST_EVENT_TIMEOUT_FACTOR = 1.5
+MAX_FIRST_EVENT_TIMEOUT_SHARE = 0.95
+"""Timeout for the first event: `FIRST_EVENT_TIMEOUT_FACTOR` times the predicted time, but no more
+than `MAX_FIRST_EVENT_TIMEOUT_SHARE` of the caller's timeout."""
 
 MOVE_CHECK_INTERVAL_S = 0.3
 """Minimum interval between checks whether to move an attempt; reports bring new data as often."""
 
 
-class Generation(Answerer):
+class StreamingRequestHandler(RequestHandler):
     """Handles one streaming request with model engines."""
 
     def __init__(
         self,
-        services: AnswerServices,
+        services: RequestServices,
         task: RequestTask,
         reply: Reply,
-        figures: EngineFigures,
+        profile: EngineProfile,
         prompt: PromptSize,
     ) -> None:
         super().__init__(services, task, reply)
-        self._figures = figures
+        self._profile = profile
         self._prompt = prompt
-        self._limits = services.limits.of(task.configuration, task.service, figures)
-        self._lane = lane_of(task.route, prompt, figures, self._limits)
+        self._limits = services.limits.for_service(task.configuration, task.service, profile)
+        self._lane = choose_lane(task.route, prompt, profile, self._limits)
         self._last_event_id = task.request.facts.last_event_id
         self._first_s: float | None = None
         self._previous_s = 0.0
@@ -80,7 +80,7 @@
 
     async def run(self) -> LocalReply | None:
         """Handle the request; return a local reply if there is no complete response."""
-        most_tokens = most_prompt_tokens(self._figures)
+        most_tokens = max_prompt_tokens(self._profile)
         if self._prompt.prompt_tokens > most_tokens:
             return LocalReply(TOO_LONG, f"at most {most_tokens} tokens")
         while True:
@@ -92,7 +92,7 @@
             time_left_s = self._task.time_left_s(self._clock.now_s())
             if self._is_new() and (reason := overload_reason(placement, self._goals())):
                 return self._local_reply(f"{reason}: {self._load_summary()}")
-            if is_hopeless(placement.predicted_s, self._caller_timeout_s(), time_left_s):
+            if would_miss_deadline(placement.predicted_s, self._caller_timeout_s(), time_left_s):
                 detail = f"first event in {placement.predicted_s:.1f} s: {self._load_summary()}"
                 return self._local_reply(detail)
             if await self._attempt(placement):
@@ -103,48 +103,49 @@
     def _local_reply(self, detail: str) -> LocalReply:
         if self.progress.may_have_run:
             return LocalReply(MAY_HAVE_RUN, detail)
-        if not self._services.sight.views(self._task.service, set()):
+        if not self._services.fleet_view.views(self._task.service, set()):
             return self._reply_not_run(NO_SERVER, f"service {self._task.service}")
         return self._reply_not_run(TURNED_AWAY if self.progress.attempts else NO_ROOM, detail)
 
     def _load_summary(self) -> str:
         """Return a summary of the engines' load for the log and the caller."""
-        views = self._services.sight.views(self._task.service, self.progress.tried)
+        views = self._services.fleet_view.views(self._task.service, self.progress.tried)
         requests = sum(view.work.requests for view in views)
-        reading_s = max((view.work.reading_ms for view in views), default=0.0) / 1000
+        prefill_s = max((view.work.prefill_ms for view in views), default=0.0) / 1000
         return (
-            f"{len(views)} engines with {self._figures.slots} slots, {requests} requests, "
-            f"up to {reading_s:.1f} s of reading, {self._services.sight.entries - 1} peers heard, "
-            f"servers confirmed {self._services.sight.beliefs_age_s:.1f} s ago"
+            f"{len(views)} engines with {self._profile.slots} slots, {requests} requests, "
+            f"up to {prefill_s:.1f} s of reading, "
+            f"{self._services.fleet_view.entries - 1} peers heard, "
+            f"servers confirmed {self._services.fleet_view.beliefs_age_s:.1f} s ago"
         )
 
     def _place(self) -> Placement | None:
         service, tried = self._task.service, self.progress.tried
         if self._lane is Lane.SHORT and self._is_suspect():
-            sight = self._services.sight
-            views = sight.near_views(service, tried) or sight.views(service, tried)
+            fleet_view = self._services.fleet_view
+            views = fleet_view.local_views(service, tried) or fleet_view.views(service, tried)
             plan = self._place_among(self._isolate(views))
             if plan is not None:
                 return plan
         if self._lane is Lane.SHORT and (
-            near_views := self._services.sight.near_views(service, tried)
+            local_views := self._services.fleet_view.local_views(service, tried)
         ):
-            plan = self._place_among(near_views)
-            if stays_near(plan, self._goal_s()):
+            plan = self._place_among(local_views)
+            if fits_in_local_data_centre(plan, self._goal_s()):
                 return plan
-        return self._place_among(self._services.sight.views(service, tried))
+        return self._place_among(self._services.fleet_view.views(service, tried))
 
     def _place_among(self, views: Sequence[ServerView]) -> Placement | None:
-        sight = self._services.sight
+        fleet_view = self._services.fleet_view
         return place_request(
             views,
             self._lane,
             self._prompt,
             self._goal_s(),
-            self._figures,
+            self._profile,
             self._limits,
-            Scatter(self._services.kernel.random, sight.news_age_s),
-            by_centre=sight.is_divided(self._task.service),
+            PlacementRandomizer(self._services.kernel.random, fleet_view.update_age_s),
+            by_centre=fleet_view.is_divided(self._task.service),
         )
 
     def _is_new(self) -> bool:
@@ -163,64 +164,66 @@
         self._begin_attempt(server, placement.helpers)
         begin_s = self._clock.now_s()
         self._log_placed(server, placement)
-        memory = {holding.server.life_id: holding.tokens for holding in placement.holdings}
+        memory = {holding.server.incarnation_id: holding.tokens for holding in placement.holdings}
         due_s = begin_s + placement.predicted_s
-        flight = Flight(
-            server.life_id,
+        in_flight = InFlightAttempt(
+            server.incarnation_id,
             placement.lane,
             memory,
             placement.parts,
             due_s,
             is_suspect=self._is_suspect(),
         )
-        self._services.sight.ledger.add(flight, begin_s)
-        waiting = trio.CancelScope(
+        self._services.fleet_view.ledger.add(in_flight, begin_s)
+        cancel_scope = trio.CancelScope(
             deadline=trio.current_time() + self._first_event_timeout_s(placement)
         )
         attempt = WaitingAttempt(
-            tuple(part.life_id for part in placement.parts),
+            tuple(part.incarnation_id for part in placement.parts),
             begin_s,
             placement.predicted_s,
-            waiting,
+            cancel_scope,
             self._move_if_faster,
             self._task.fingerprint,
         )
         try:
-            return await self._exchange(placement, flight, attempt)
+            return await self._exchange(placement, in_flight, attempt)
         except AttemptNotRun as cause:
             self._record_not_run(server, begin_s, cause, placement.helpers)
         except AttemptUnknown as cause:
-            if attempt.moving_reason:
-                self._record_abandoned(server, begin_s, attempt.moving_reason)
+            if attempt.cancel_reason:
+                self._record_abandoned(server, begin_s, attempt.cancel_reason)
             else:
                 await self._record_unknown(server, begin_s, cause)
         finally:
-            self._services.sight.ledger.remove(flight, self._clock.now_s())
+            self._services.fleet_view.ledger.remove(in_flight, self._clock.now_s())
         return False
 
     async def _exchange(
-        self, placement: Placement, flight: Flight, attempt: WaitingAttempt
+        self, placement: Placement, in_flight: InFlightAttempt, attempt: WaitingAttempt
     ) -> bool:
         task = self._task
         helpers = tuple(Helper(server) for server in placement.helpers)
         terms = self._attempt_terms(placement.server, attempt.begin_s, self._last_event_id, helpers)
         with ExitStack() as until_begun:
-            until_begun.enter_context(self._services.sight.waiting_attempts.hold(attempt))
+            until_begun.enter_context(self._services.fleet_view.waiting_attempts.register(attempt))
             async with (
                 self._services.reservations.hold(placement.holdings[1:]) as reserved,
-                self._services.attempts.send(
+                self._services.attempt_sender.send(
                     task.request,
                     terms._replace(helpers=_with_reservations(terms.helpers, reserved)),
                     may_reuse=task.route.is_repeatable,
-                    waiting=attempt.waiting,
+                    waiting=attempt.cancel_scope,
                 ) as answer,
             ):
                 until_begun.close()
-                attempt.moving_reason = ""  # The response began before the wait was cancelled.
-                self._services.sight.note_load(placement.server.life_id, answer.facts.load)
+                attempt.cancel_reason = ""  # The response began before the wait was cancelled.
+                self._services.fleet_view.record_load(
+                    placement.server.incarnation_id, answer.facts.load
+                )
                 if answer.status >= 300:
                     return await self._forward_failure(placement, answer)
-                await self._forward_stream(placement, flight, answer)
+                await self._forward_stream(placement, in_flight, answer)
                 return True
 
     def _move_if_faster(self, attempt: WaitingAttempt, pace: float) -> None:
@@ -232,10 +235,10 @@
         remaining_here_s = remaining_s(now_s - attempt.begin_s, attempt.predicted_s, pace)
         time_to_goal_s = self._goal_s() - (now_s - self._task.request.arrived_s)
         alternative = self._place()
-        if alternative and is_worth_moving(
+        if alternative and should_move_attempt(
             remaining_here_s, alternative.predicted_s, time_to_goal_s
         ):
-            attempt.give_up(
+            attempt.cancel(
                 f"an engine is {pace:.1f} times slower: {remaining_here_s:.2f} s more, "
                 f"{alternative.predicted_s:.2f} s elsewhere"
             )
@@ -247,22 +250,23 @@
         would be no faster. The attempt is therefore abandoned only well after the predicted time.
         """
         expected_s = min(
-            LATE_FACTOR * placement.predicted_s, LATEST_SHARE * self._caller_timeout_s()
+            FIRST_EVENT_TIMEOUT_FACTOR * placement.predicted_s,
+            MAX_FIRST_EVENT_TIMEOUT_SHARE * self._caller_timeout_s(),
         )
         return max(self._silence_timeout_s(), expected_s)
 
     def _silence_timeout_s(self) -> float:
         if not self._can_fail_over():
             return math.inf  # The deadline of the request still applies.
-        return SILENCE_SHARE * self._caller_timeout_s()
+        return SILENCE_TIMEOUT_SHARE * self._caller_timeout_s()
 
     def _caller_timeout_s(self) -> float:
         """Return the silence after which the caller closes the stream."""
         route = self._task.route
         return max(
-            PATIENCE_S,
-            PATIENCE_GOALS * (route.goal_s or 0.0),
-            PATIENCE_PAUSES * (route.pause_goal_s or 0.0),
+            CALLER_TIMEOUT_S,
+            CALLER_TIMEOUT_GOALS * (route.goal_s or 0.0),
+            CALLER_TIMEOUT_PAUSES * (route.pause_goal_s or 0.0),
         )
 
     async def _forward_failure(self, placement: Placement, answer: Answer) -> bool:
@@ -274,12 +278,14 @@
             raise AttemptUnknown(
                 f"the engine responded with status {answer.status} to a resumed stream"
             )
-        headers = self._services.dialect.answer_headers(answer.headers)
-        await self._reply.whole(answer.status, headers, body)
+        headers = self._services.dialect.response_headers(answer.headers)
+        await self._reply.send_complete(answer.status, headers, body)
         self._record_answered(placement, answer.status)
         return True
 
-    async def _forward_stream(self, placement: Placement, flight: Flight, answer: Answer) -> None:
+    async def _forward_stream(
+        self, placement: Placement, in_flight: InFlightAttempt, answer: Answer
+    ) -> None:
         """Forward a stream event by event, so that a broken stream can be resumed.
 
         Bytes of an incomplete event are buffered: if the engine dies within the event, the next
@@ -289,27 +295,27 @@
         """
         splitter = EventSplitter()
         if not self._reply.has_begun:
-            headers = self._services.dialect.answer_headers(answer.headers)
+            headers = self._services.dialect.response_headers(answer.headers)
             await self._reply.begin(answer.status, headers)
-        slow_event_s = slow_event_time_s(self._figures)
+        slow_event_s = slow_event_time_s(self._profile)
         waiting_since_s = self._clock.now_s()
         while (chunk := await answer.chunk(self._silence_timeout_s())) is not None:
             # Measured only while waiting for the engine: the time spent on writing to the caller
             # says nothing about the engine.
             waited_s = self._clock.now_s() - waiting_since_s
-            if not flight.is_reading:
-                self._services.sight.note_event(
+            if not in_flight.is_in_prefill:
+                self._services.fleet_view.record_event(
                     placement.server, waited_s, slow_event_s, self._request_id
                 )
             for event in splitter.feed(chunk):
                 now_s = self._clock.now_s()
-                self._services.sight.ledger.first_event(flight, now_s)
+                self._services.fleet_view.ledger.first_event(in_flight, now_s)
                 await self._forward_event(event, now_s)
             waiting_since_s = self._clock.now_s()
         if splitter.rest:
             await self._reply.send(splitter.rest)
         await self._reply.end()
-        self._services.sight.note_success(placement.server.life_id)
+        self._services.fleet_view.record_success(placement.server.incarnation_id)
         self._record_answered(placement, answer.status)
 
     async def _forward_event(self, event: StreamEvent, now_s: float) -> None:
@@ -350,6 +356,7 @@
 ) -> tuple[Helper, ...]:
     """Return the helpers, those with reserved memory first: memory is filled in this order."""
     named = [
-        helper._replace(reservation_id=reserved.get(helper.server.life_id)) for helper in helpers
+        helper._replace(reservation_id=reserved.get(helper.server.incarnation_id))
+        for helper in helpers
     ]
     return tuple(sorted(named, key=lambda helper: helper.reservation_id is None))
--- a/packages/proxy/tests/test_decisions.py
+++ b/packages/proxy/tests/test_decisions.py
@@ -7,47 +7,47 @@
 from hypothesis import strategies as st
 
 from sassafrastally.core import Address
-from sassafrastally.proxy.budget import RetryBudget
-from sassafrastally.proxy.engine_time import pass_ms, reading_ms
+from sassafrastally.proxy.attempt_migration import remaining_s, should_move_attempt
+from sassafrastally.proxy.engine_time import pass_ms, prefill_ms
 from sassafrastally.proxy.event_stream import EventSplitter
 from sassafrastally.proxy.lanes import ServerView
-from sassafrastally.proxy.leaving import LeavingServers, looks_leaving
+from sassafrastally.proxy.leaving_servers import LeavingServers, is_probably_leaving
 from sassafrastally.proxy.load import (
-    UNFINISHED_READING_MS,
-    Flight,
+    MIN_UNFINISHED_PREFILL_MS,
+    InFlightAttempt,
     Lane,
     Ledger,
-    Part,
+    PrefillPart,
     Work,
-    merge,
+    merge_work,
     server_hash,
 )
 from sassafrastally.proxy.model import (
     BackendServer,
-    EngineFigures,
+    EngineProfile,
     Route,
     RouteKind,
     ServerLoad,
     ServiceShare,
 )
-from sassafrastally.proxy.moving import is_worth_moving, remaining_s
-from sassafrastally.proxy.pace import REPORT_VALID_S, Paces
+from sassafrastally.proxy.outlier_ejection import OutlierEjection
+from sassafrastally.proxy.pace import REPORT_VALID_S, PaceReports
 from sassafrastally.proxy.plain_placement import place_plain
-from sassafrastally.proxy.report_duty import has_report_duty
+from sassafrastally.proxy.report_duty import polls_engine
+from sassafrastally.proxy.retry_budget import RetryBudget
 from sassafrastally.proxy.routes import RouteTable, choose_service
-from sassafrastally.proxy.slowness import Slowness, slow_event_time_s
-from sassafrastally.proxy.suspicion import Suspicion
-from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
-from sassafrastally.proxy.unseen import UnseenRequests
-from sassafrastally.proxy.watch_duty import (
-    FIRST_STEP,
-    FRESH_S,
-    LAST_STEP_S,
-    OtherEntry,
-    has_duty,
+from sassafrastally.proxy.slow_event_detection import SlowEventDetector, slow_event_time_s
+from sassafrastally.proxy.store_watchers import (
+    FIRST_TAKEOVER_COUNT,
+    MAX_TAKEOVER_DELAY_S,
+    WATCHER_TIMEOUT_S,
+    WatchCandidate,
+    must_watch_store,
 )
+from sassafrastally.proxy.turning_away import retry_delay_s, would_miss_deadline
+from sassafrastally.proxy.unreported_requests import UnreportedRequests
 
-FIGURES = EngineFigures(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
+PROFILE = EngineProfile(8, 405_000, 1.31, 0.0018, 0.00213, 154.0, 0.162, 2048, 34, 0.1)
 
 
 class TestRetryBudget:
@@ -61,31 +61,33 @@
         for step in range(1000):
             budget = budgets[step % 4]
             budget.count_request("s", step / 100)
-            sent += budget.take("s", 4, step / 100)
+            sent += budget.try_spend("s", 4, step / 100)
         assert 100 < sent <= 0.2 * 1000 + 100
 
     def test_budget_is_restored_as_the_window_slides(self):
         budget = RetryBudget(0.0, 10, 10.0)
-        assert sum(budget.take("s", 1, 0.0) for _ in range(20)) == 6
-        assert budget.take("s", 1, 11.0)
+        assert sum(budget.try_spend("s", 1, 0.0) for _ in range(20)) == 6
+        assert budget.try_spend("s", 1, 11.0)
 
 
-class TestSuspicion:
+class TestOutlierEjection:
     """Outlier ejection after failures."""
 
     def test_one_failure_ejects_a_server_only_if_it_is_clear(self):
-        suspicion = Suspicion()
-        suspicion.failed("a", 0.0, is_clear=False)
-        assert not suspicion.is_suspect("a", 0.0)
-        suspicion.failed("b", 0.0, is_clear=True)
-        assert suspicion.is_suspect("b", 0.5)
+        outlier_ejection = OutlierEjection()
+        outlier_ejection.record_failure("a", 0.0, is_conclusive=False)
+        assert not outlier_ejection.is_suspect("a", 0.0)
+        outlier_ejection.record_failure("b", 0.0, is_conclusive=True)
+        assert outlier_ejection.is_suspect("b", 0.5)
 
     def test_ejection_time_doubles_up_to_a_bound_and_success_ends_it(self):
-        suspicion = Suspicion()
-        times = [suspicion.failed("a", 100.0 * n, is_clear=True) for n in range(6)]
+        outlier_ejection = OutlierEjection()
+        times = [
+            outlier_ejection.record_failure("a", 100.0 * n, is_conclusive=True) for n in range(6)
+        ]
         assert times == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
-        suspicion.succeeded("a")
-        assert not suspicion.is_suspect("a", 500.1)
+        outlier_ejection.record_success("a")
+        assert not outlier_ejection.is_suspect("a", 500.1)
 
 
 class TestServices:
@@ -113,52 +115,52 @@
         assert place_plain([], "here") is None
 
 
-class TestUnseenRequests:
+class TestUnreportedRequests:
     """Requests of entries that can't be reached."""
 
     def test_excess_counts_until_it_expires(self):
         """An entry that is partitioned from its peers fills the same engines. The excess stated in
         an answer over the known requests counts as load until a newer answer states less."""
-        unseen = UnseenRequests()
-        unseen.note("a", ServerLoad(7, 1, 8), known=2, now_s=0.0)
-        assert unseen.at("a", 0.5) == 5
-        assert unseen.at("a", 1.5) == 0
-        unseen.note("a", ServerLoad(3, 0, 8), known=2, now_s=0.6)
-        assert unseen.at("a", 0.7) == 0
+        unreported = UnreportedRequests()
+        unreported.record("a", ServerLoad(7, 1, 8), known=2, now_s=0.0)
+        assert unreported.count("a", 0.5) == 5
+        assert unreported.count("a", 1.5) == 0
+        unreported.record("a", ServerLoad(3, 0, 8), known=2, now_s=0.6)
+        assert unreported.count("a", 0.7) == 0
 
 
-class TestSlowness:
+class TestSlowEventDetector:
     """Detection of engines that are slower than their figures."""
 
     def test_consecutive_slow_events_eject_an_engine_for_a_while(self):
         """An engine becomes four times slower. It still answers, so no request fails, but each long
         prompt that it prefills a part of waits for that part."""
-        slowness = Slowness()
-        found = [slowness.note_slow("a", 8, 0.2 * n) for n in range(4)]
+        detector = SlowEventDetector()
+        found = [detector.record_slow("a", 8, 0.2 * n) for n in range(4)]
         assert found == [False, False, False, True]
-        assert "a" in slowness.slow_servers(1.0)
-        assert slowness.slow_servers(9.0) == {}
+        assert "a" in detector.slow_servers(1.0)
+        assert detector.slow_servers(9.0) == {}
 
     def test_one_usual_event_resets_the_count(self):
-        slowness = Slowness()
+        detector = SlowEventDetector()
         for n in range(20):
             if n % 4 == 3:
-                slowness.note_usual("a")
+                detector.record_usual("a")
             else:
-                assert not slowness.note_slow("a", 8, 0.2 * n)
+                assert not detector.record_slow("a", 8, 0.2 * n)
 
     def test_most_engines_are_never_ejected(self):
         """All engines seem slow when this process is starved of CPU or its link loses packets.
         Ejecting most of them would overload the rest."""
-        slowness = Slowness()
+        detector = SlowEventDetector()
         names = [f"e{n}" for n in range(8)] * 6
-        assert sum(slowness.note_slow(name, 8, 0.01 * n) for n, name in enumerate(names)) == 2
-        assert len(slowness.slow_servers(1.0)) == 2
+        assert sum(detector.record_slow(name, 8, 0.01 * n) for n, name in enumerate(names)) == 2
+        assert len(detector.slow_servers(1.0)) == 2
 
     def test_events_during_the_prefill_of_a_short_prompt_are_not_slow(self):
         """A full engine decodes eight requests and prefills a short prompt in some passes."""
-        busiest_s = (pass_ms(FIGURES, 8, 405_000) + reading_ms(FIGURES, 5000)) / 1000
-        assert busiest_s < slow_event_time_s(FIGURES)
+        busiest_s = (pass_ms(PROFILE, 8, 405_000) + prefill_ms(PROFILE, 5000)) / 1000
+        assert busiest_s < slow_event_time_s(PROFILE)
 
 
 class TestPace:
@@ -170,7 +172,7 @@
 
         def polled_by(present: list[str]) -> dict[str, list[str]]:
             return {
-                engine: [host for host in present if has_report_duty(engine, host, present)]
+                engine: [host for host in present if polls_engine(engine, host, present)]
                 for engine in engines
             }
 
@@ -180,18 +182,18 @@
         assert all(before[engine] == [hosts[0]] for engine in changed)
 
     def test_report_expires(self):
-        paces = Paces()
-        paces.note("a", 5.0, 10.0)
-        paces.note("b", 1.1, 10.0)
+        paces = PaceReports()
+        paces.record("a", 5.0, 10.0)
+        paces.record("b", 1.1, 10.0)
         assert paces.slow(10.5) == {"a": 5.0}
         assert paces.slow(10.0 + REPORT_VALID_S) == {}
 
     def test_prefill_moves_when_it_misses_its_goal_here_and_is_much_sooner_elsewhere(self):
         """A prompt was predicted within 0.5 s, and one of its engines became five times slower."""
         assert remaining_s(1.0, 0.5, 5.0) == pytest.approx(1.5)
-        assert is_worth_moving(2.4, 0.5, goal_left_s=1.5)
-        assert not is_worth_moving(1.2, 0.5, goal_left_s=1.5)
-        assert not is_worth_moving(2.4, 2.0, goal_left_s=1.5)
+        assert should_move_attempt(2.4, 0.5, goal_left_s=1.5)
+        assert not should_move_attempt(1.2, 0.5, goal_left_s=1.5)
+        assert not should_move_attempt(2.4, 2.0, goal_left_s=1.5)
 
     def test_prefill_that_has_just_started_takes_its_whole_time_at_the_pace(self):
         assert remaining_s(0.0, 0.5, 4.0) == pytest.approx(2.0)
@@ -204,22 +206,22 @@
         """A quarter of the engines drain while the store is unavailable, so each long prompt is
         placed on one of them. A full engine rejects requests too and must not be avoided for
         seconds."""
-        idle, full = Work(short_requests=1), Work(short_requests=3, reading_requests=1)
-        assert looks_leaving(idle, 5, news_age_s=3.0)
-        assert not looks_leaving(full, 5, news_age_s=3.0)
-        assert not looks_leaving(idle, 5, news_age_s=0.3)
+        idle, full = Work(short_requests=1), Work(short_requests=3, prefill_requests=1)
+        assert is_probably_leaving(idle, 5, update_age_s=3.0)
+        assert not is_probably_leaving(full, 5, update_age_s=3.0)
+        assert not is_probably_leaving(idle, 5, update_age_s=0.3)
 
     def test_is_avoided_until_it_is_gone_or_confirmed_to_stay(self):
         leaving = LeavingServers()
-        leaving.note("a", 10.0)
-        assert leaving.left_alone(11.0, confirmed_s=8.0) == {"a": 7.0}
-        assert leaving.left_alone(12.5, confirmed_s=11.5) == {"a": 5.5}
-        assert leaving.left_alone(13.0, confirmed_s=12.5) == {}
+        leaving.record("a", 10.0)
+        assert leaving.to_avoid(11.0, confirmed_s=8.0) == {"a": 7.0}
+        assert leaving.to_avoid(12.5, confirmed_s=11.5) == {"a": 5.5}
+        assert leaving.to_avoid(13.0, confirmed_s=12.5) == {}
 
     def test_is_avoided_no_longer_than_it_takes_to_leave(self):
         leaving = LeavingServers()
-        leaving.note("a", 10.0)
-        assert leaving.left_alone(18.0, confirmed_s=8.0) == {}
+        leaving.record("a", 10.0)
+        assert leaving.to_avoid(18.0, confirmed_s=8.0) == {}
 
 
 class TestTurningAway:
@@ -229,7 +231,7 @@
         """Guards against callers that retry within the burst that rejected them: a burst of six
         times the capacity of the engines lasts six seconds, and with a retry delay of 0.5 s all
         callers were rejected for good."""
-        times_s = [come_back_after_s(9.9, n / 200) for n in range(200)]
+        times_s = [retry_delay_s(9.9, n / 200) for n in range(200)]
         assert min(times_s) > 1.9
         assert max(times_s) <= 9.9 / 3
         assert max(times_s) - min(times_s) > 1.0
@@ -238,15 +240,15 @@
         """Ten long prompts are prefilled one after the other. The answer to an eleventh would start
         after 20 s, while its caller disconnects after 12 s. Its prefill would be wasted and delay
         the next prompts."""
-        assert is_hopeless(20.0, 12.0, 14.9)
-        assert is_hopeless(3.0, 12.0, 2.5)
-        assert not is_hopeless(3.0, 12.0, 14.9)
-        assert not is_hopeless(3.0, 12.0, None)
+        assert would_miss_deadline(20.0, 12.0, 14.9)
+        assert would_miss_deadline(3.0, 12.0, 2.5)
+        assert not would_miss_deadline(3.0, 12.0, 14.9)
+        assert not would_miss_deadline(3.0, 12.0, None)
 
     def test_short_time_limit_gets_a_short_delay(self):
-        assert come_back_after_s(0.5, 1.0) < 0.17
-        assert come_back_after_s(0.0, 0.5) > 0
-        assert come_back_after_s(None, 0.5) > 1
+        assert retry_delay_s(0.5, 1.0) < 0.17
+        assert retry_delay_s(0.0, 0.5) > 0
+        assert retry_delay_s(None, 0.5) > 1
 
 
 class TestWatchDuty:
@@ -259,13 +261,13 @@
     ) -> list[str]:
         """Return the entries that watch if each knows all others."""
         entries = [
-            OtherEntry(host, age_s, (links_mbps or {}).get(host, 100))
+            WatchCandidate(host, age_s, (links_mbps or {}).get(host, 100))
             for host, age_s in ages_s.items()
         ]
         return [
             entry.host
             for entry in entries
-            if has_duty(entry, [other for other in entries if other is not entry])
+            if must_watch_store(entry, [other for other in entries if other is not entry])
         ]
 
     def test_two_of_many_watch(self):
@@ -279,9 +281,11 @@
         each of them would watch, and would read everything again if the store has compacted its
         history."""
         hosts = [f"10.0.0.{n}" for n in range(68)]
-        assert len(self.duties(dict.fromkeys(hosts, 1.6))) == FIRST_STEP
-        assert len(self.duties(dict.fromkeys(hosts, 1.9))) == 3 * FIRST_STEP
-        assert len(self.duties(dict.fromkeys(hosts, FRESH_S + LAST_STEP_S))) == 68
+        assert len(self.duties(dict.fromkeys(hosts, 1.6))) == FIRST_TAKEOVER_COUNT
+        assert len(self.duties(dict.fromkeys(hosts, 1.9))) == 3 * FIRST_TAKEOVER_COUNT
+        assert (
+            len(self.duties(dict.fromkeys(hosts, WATCHER_TIMEOUT_S + MAX_TAKEOVER_DELAY_S))) == 68
+        )
 
     def test_the_fastest_links_watch(self):
         """Twenty versions of 0.5 MB arrive within two seconds. A watcher on a link of 10 Mbit/s
@@ -320,13 +324,15 @@
 
     def test_prefill_counts_until_the_first_event_and_memory_until_the_end(self):
         ledger = Ledger()
-        flight = Flight("a", Lane.LONG, {"a": 100, "b": 50}, (Part("a", 500.0), Part("b", 500.0)))
-        ledger.add(flight, 0.0)
+        in_flight = InFlightAttempt(
+            "a", Lane.LONG, {"a": 100, "b": 50}, (PrefillPart("a", 500.0), PrefillPart("b", 500.0))
+        )
+        ledger.add(in_flight, 0.0)
         work = ledger.work(0.1)
-        assert work["b"] == Work(reading_requests=1, tokens=50, reading_ms=400.0)
-        ledger.first_event(flight, 0.4)
-        assert ledger.work(0.4)["a"] == Work(long_requests=1, tokens=100, writing_tokens=100)
-        ledger.remove(flight, 0.5)
+        assert work["b"] == Work(prefill_requests=1, tokens=50, prefill_ms=400.0)
+        ledger.first_event(in_flight, 0.4)
+        assert ledger.work(0.4)["a"] == Work(long_requests=1, tokens=100, decoding_tokens=100)
+        ledger.remove(in_flight, 0.5)
         assert ledger.work(0.5) == {}
 
     def test_overdue_prefill_keeps_its_engines_busy(self):
@@ -334,10 +340,12 @@
         prefilled first. If its engines counted as idle, a burst of short prompts would be placed
         there and wait."""
         ledger = Ledger()
-        ledger.add(Flight("a", Lane.LONG, {"a": 100}, (Part("a", 2900.0),), due_s=3.0), 0.0)
-        assert ledger.work(2.8)["a"].reading_ms == pytest.approx(100.0)
-        assert ledger.work(3.05)["a"].reading_ms == pytest.approx(UNFINISHED_READING_MS)
-        assert ledger.work(3.6)["a"].reading_ms == pytest.approx(500.0)
+        ledger.add(
+            InFlightAttempt("a", Lane.LONG, {"a": 100}, (PrefillPart("a", 2900.0),), due_s=3.0), 0.0
+        )
+        assert ledger.work(2.8)["a"].prefill_ms == pytest.approx(100.0)
+        assert ledger.work(3.05)["a"].prefill_ms == pytest.approx(MIN_UNFINISHED_PREFILL_MS)
+        assert ledger.work(3.6)["a"].prefill_ms == pytest.approx(500.0)
 
     def test_parts_of_two_entries_on_one_engine_are_prefilled_in_sequence(self):
         """Two entries have placed a part of 0.5 s each on one engine. Guards against each entry
@@ -345,14 +353,20 @@
         prefill left, and get the next prompt."""
         first, second = Ledger(), Ledger()
         for ledger, other in ((first, second), (second, first)):
-            ledger.others = lambda other=other: [{server_hash("a"): Work(reading_ms=left(other))}]
-            ledger.add(Flight("a", Lane.LONG, {}, (Part("a", 500.0),), due_s=1.0), 0.0)
+            ledger.others = lambda other=other: [{server_hash("a"): Work(prefill_ms=left(other))}]
+            ledger.add(
+                InFlightAttempt("a", Lane.LONG, {}, (PrefillPart("a", 500.0),), due_s=1.0), 0.0
+            )
 
         def left(ledger: Ledger) -> float:
-            return sum(part_ms for flight in ledger._flights for part_ms in flight.left_ms.values())
+            return sum(
+                part_ms
+                for in_flight in ledger._attempts
+                for part_ms in in_flight.remaining_ms.values()
+            )
 
         for tenth in range(1, 7):
-            backlogs_ms = [ledger.work(tenth / 10)["a"].reading_ms for ledger in (first, second)]
+            backlogs_ms = [ledger.work(tenth / 10)["a"].prefill_ms for ledger in (first, second)]
         assert sum(backlogs_ms) == pytest.approx(400.0, rel=0.1)
 
     def test_one_late_part_does_not_mark_all_engines_of_a_prompt_as_busy(self):
@@ -361,9 +375,9 @@
         gave a backlog of 550 s instead of 30 s, and callers were rejected while 25 of 78 engines
         were idle."""
         ledger = Ledger()
-        parts = tuple(Part(f"e{number}", 300.0) for number in range(17))
-        ledger.add(Flight("e0", Lane.LONG, {}, parts, due_s=0.4), 0.0)
-        backlog_ms = sum(work.reading_ms for work in ledger.work(2.4).values())
+        parts = tuple(PrefillPart(f"e{number}", 300.0) for number in range(17))
+        ledger.add(InFlightAttempt("e0", Lane.LONG, {}, parts, due_s=0.4), 0.0)
+        backlog_ms = sum(work.prefill_ms for work in ledger.work(2.4).values())
         assert backlog_ms == pytest.approx(1900.0)
 
     def test_lost_answers_of_one_engine_do_not_add_up(self):
@@ -372,14 +386,14 @@
         with that on all engines, one caller in fourteen was rejected."""
         ledger = Ledger()
         for number in range(3):
-            part = Part("a", 30.0)
-            ledger.add(Flight("a", Lane.SHORT, {}, (part,), due_s=0.1 + number / 100), 0.0)
-        assert ledger.work(1.2)["a"].reading_ms <= 1000.0
+            part = PrefillPart("a", 30.0)
+            ledger.add(InFlightAttempt("a", Lane.SHORT, {}, (part,), due_s=0.1 + number / 100), 0.0)
+        assert ledger.work(1.2)["a"].prefill_ms <= 1000.0
 
     def test_work_of_peers_is_added(self):
         own = {"a": Work(short_requests=1)}
         peers = [{server_hash("a"): Work(short_requests=2)}, {server_hash("b"): Work(tokens=7)}]
-        view = merge(own, peers)
+        view = merge_work(own, peers)
         assert view.at("a").short_requests == 3
         assert view.at("b").tokens == 7
         assert view.at("c") == Work()
--- a/packages/proxy/tests/test_peer_messages.py
+++ b/packages/proxy/tests/test_peer_messages.py
@@ -4,12 +4,17 @@
 
 import random
 
-from sassafrastally.proxy.crash_cases import MAX_CRASHES_SENT
-from sassafrastally.proxy.limit_news import LimitNews
+from sassafrastally.proxy.crash_records import MAX_CRASHES_SENT
+from sassafrastally.proxy.limit_exchange import LimitReport
 from sassafrastally.proxy.load import Work
 from sassafrastally.proxy.peer_messages import Hello, decode_hello, encode_hello
 from sassafrastally.proxy.quarantine import Quarantine
-from sassafrastally.proxy.quarantine_news import AnswerNews, CrashNews, QuarantineNews, VerdictNews
+from sassafrastally.proxy.quarantine_exchange import (
+    AnswerReport,
+    CrashReport,
+    QuarantineReport,
+    VerdictReport,
+)
 
 
 class TestDatagram:
@@ -31,9 +36,11 @@
             returned_age_s=7.5,
             data_centre="here",
             link_mbps=100,
-            limits={9: LimitNews(2.5, 0.125), 10: LimitNews(None, 1.0)},
-            quarantine=QuarantineNews(
-                (CrashNews(1 << 63, 2, 0.25),), (VerdictNews(3, 599.5, 4),), (AnswerNews(5, 1.5),)
+            limits={9: LimitReport(2.5, 0.125), 10: LimitReport(None, 1.0)},
+            quarantine=QuarantineReport(
+                (CrashReport(1 << 63, 2, 0.25),),
+                (VerdictReport(3, 599.5, 4),),
+                (AnswerReport(5, 1.5),),
             ),
         )
         assert decode_hello(encode_hello(hello)) == hello
@@ -54,7 +61,7 @@
             peers=tuple(f"10.1.0.{number}" for number in range(30)),
             suspects={key: 8.0 * draw.random() for key in keys},
             paces={key: 1.3 + draw.random() for key in keys},
-            limits={key: LimitNews(draw.random(), draw.random()) for key in keys},
+            limits={key: LimitReport(draw.random(), draw.random()) for key in keys},
         )
         data = encode_hello(hello)
         assert len(data) < 1400
@@ -69,11 +76,11 @@
         for number in range(300):
             fingerprint = draw.getrandbits(64)
             for _ in range(3 if number < 20 else 1):
-                quarantine.note_crash(fingerprint, draw.getrandbits(64), 1.0, is_own=True)
-        news = quarantine.news(1.0, is_full=True)
+                quarantine.record_crash(fingerprint, draw.getrandbits(64), 1.0, is_own=True)
+        report = quarantine.report(1.0, is_full=True)
         loads = {draw.getrandbits(64): Work(1, 2, 3, 4, 400_000, 60_000.0) for _ in range(200)}
         hello = Hello("10.0.0.1", 7, 3, 12, 0.5, False, loads, (), {}, {}, 0.0, 0.0, "here", 10)
-        received = decode_hello(encode_hello(hello._replace(quarantine=news)))
-        assert len(encode_hello(hello._replace(quarantine=news))) < 1400
+        received = decode_hello(encode_hello(hello._replace(quarantine=report)))
+        assert len(encode_hello(hello._replace(quarantine=report))) < 1400
         assert len(received.quarantine.crashes) == MAX_CRASHES_SENT
         assert len(received.loads) >= 30
--- a/packages/proxy/tests/test_rate_shares.py
+++ b/packages/proxy/tests/test_rate_limit_sharing.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sassafrastally.proxy.rate_shares import (
-    LEAST_PER_S,
+from sassafrastally.proxy.rate_limit_sharing import (
+    MIN_LIMIT_PER_S,
     RetrySchedule,
     SentRequests,
     own_share_per_s,
@@ -31,10 +31,12 @@
 class GreedyEntries:
     """Entries that always have more requests for one server than their share of its limit."""
 
-    def __init__(self, hosts: list[str], most_per_s: float, life_id: str = "engine-1") -> None:
+    def __init__(
+        self, hosts: list[str], most_per_s: float, incarnation_id: str = "engine-1"
+    ) -> None:
         self.hosts = hosts
         self.most_per_s = most_per_s
-        self.life_id = life_id
+        self.incarnation_id = incarnation_id
         self.known = {host: set(hosts) - {host} for host in hosts}
         """Other entries that each entry knows as possible senders."""
         self.sent = {host: SentRequests() for host in hosts}
@@ -43,18 +45,18 @@
     def run(self, begin_s: float, end_s: float) -> None:
         """Let all entries send whenever their share has room."""
         shares = {
-            host: own_share_per_s(self.life_id, self.most_per_s, host, self.known[host])
+            host: own_share_per_s(self.incarnation_id, self.most_per_s, host, self.known[host])
             for host in self.hosts
         }
         for step in range(int((end_s - begin_s) / STEP_S)):
             now_s = begin_s + step * STEP_S
             for host, share in shares.items():
-                while self.sent[host].room_in_s(share, now_s) <= 0:
+                while self.sent[host].wait_s(share, now_s) <= 0:
                     self.send(host, now_s)
 
     def send(self, host: str, now_s: float) -> None:
         """Let an entry send a request."""
-        self.sent[host].note(now_s)
+        self.sent[host].record(now_s)
         self.sent_s.append(now_s)
 
 
@@ -68,7 +70,7 @@
         greedy = GreedyEntries(hosts_of(entries), most_per_s)
         greedy.run(0.0, 30.0)
         assert most_in_window(greedy.sent_s, 0.0) <= allowed(most_per_s)
-        accepted_per_s = max(LEAST_PER_S, most_per_s)
+        accepted_per_s = max(MIN_LIMIT_PER_S, most_per_s)
         assert len(greedy.sent_s) >= 0.85 * accepted_per_s * 30.0
 
     def test_requests_before_the_limit_was_known_count(self):
@@ -114,8 +116,8 @@
         """Guards against one entry sending the requests of several seconds at once."""
         sent = SentRequests()
         for _ in range(10):
-            sent.note(0.0)
-        assert sent.room_in_s(10.0, 0.0) == pytest.approx(1.0)
+            sent.record(0.0)
+        assert sent.wait_s(10.0, 0.0) == pytest.approx(1.0)
 
 
 class TestRetrySchedule:
@@ -145,13 +147,13 @@
             now_s = step * 0.01
             while retry_at_s and retry_at_s[0] <= now_s:
                 retry_at_s.pop(0)
-                if sent.room_in_s(share, now_s) <= 0:
-                    sent.note(now_s)
+                if sent.wait_s(share, now_s) <= 0:
+                    sent.record(now_s)
                     accepted += 1
                 else:
                     rejected += 1
             if draw.random() < 0.1:
-                back_s = times.next_retry_s("s", sent.room_in_s(share, now_s), 4.0, WINDOW_S, now_s)
+                back_s = times.next_retry_s("s", sent.wait_s(share, now_s), 4.0, WINDOW_S, now_s)
                 if back_s < WINDOW_S:
                     retry_at_s = sorted([*retry_at_s, now_s + back_s + 0.001])
         assert accepted > 0.9 * (accepted + rejected)
--- a/packages/testing/src/sassafrastally/testing/load_replay.py
+++ b/packages/testing/src/sassafrastally/testing/load_replay.py
@@ -1,6 +1,6 @@
 """Replays of a load: several entries' decisions before engines that work in passes.
 
-The decisions are the product's own; engines are `PassingEngine`s on trio's clock. Between them
+The decisions are the product's own; engines are `SimulatedEngine`s on trio's clock. Between them
 stands no network and no HTTP, so that half a minute of some hundred requests a second is replayed
 in seconds and a change of a decision can be compared on the same arrivals.
 """
@@ -16,22 +16,22 @@
 
 from sassafrastally.core import Address
 from sassafrastally.proxy.admission import Goals, overload_reason
-from sassafrastally.proxy.generation import (
-    LATE_FACTOR,
-    LATEST_SHARE,
-    PATIENCE_GOALS,
-    PATIENCE_PAUSES,
-    PATIENCE_S,
-    SILENCE_SHARE,
-)
-from sassafrastally.proxy.lanes import Scatter, ServerView, lane_of
-from sassafrastally.proxy.load import Flight, Lane, Ledger, Work, merge, server_hash
+from sassafrastally.proxy.lanes import PlacementRandomizer, ServerView, choose_lane
+from sassafrastally.proxy.load import InFlightAttempt, Lane, Ledger, Work, merge_work, server_hash
 from sassafrastally.proxy.model import BackendServer, Route, RouteKind
 from sassafrastally.proxy.placement import place_request
-from sassafrastally.proxy.rate_shares import SentRequests, own_share_per_s
-from sassafrastally.proxy.reading_limits import reading_limits
-from sassafrastally.proxy.turning_away import come_back_after_s, is_hopeless
-from sassafrastally.stand_ins.passing_engine import Full, PassingEngine
+from sassafrastally.proxy.prefill_limits import prefill_limits_for
+from sassafrastally.proxy.rate_limit_sharing import SentRequests, own_share_per_s
+from sassafrastally.proxy.streaming_request import (
+    CALLER_TIMEOUT_GOALS,
+    CALLER_TIMEOUT_PAUSES,
+    CALLER_TIMEOUT_S,
+    FIRST_EVENT_TIMEOUT_FACTOR,
+    MAX_FIRST_EVENT_TIMEOUT_SHARE,
+    SILENCE_TIMEOUT_SHARE,
+)
+from sassafrastally.proxy.turning_away import retry_delay_s, would_miss_deadline
+from sassafrastally.stand_ins.simulated_engine import EngineFull, SimulatedEngine
 from sassafrastally.testing.load_arrivals import Arrival, Deployment, Kind
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 
 MOST_ATTEMPTS = 2
 
-NEWS_WAY_S = 0.02
+DATAGRAM_LATENCY_S = 0.02
 """Time that a datagram takes from entry to entry."""
 
 
@@ -121,14 +121,16 @@
         self._deployment = deployment
         self._most_per_s = {f"e{number}": most for number, most in (limits_per_s or {}).items()}
         self._spares_limited = spares_limited
-        self.sent_s: dict[str, list[float]] = {life_id: [] for life_id in self._most_per_s}
+        self.sent_s: dict[str, list[float]] = {
+            incarnation_id: [] for incarnation_id in self._most_per_s
+        }
         """When requests were sent to each engine with a limit."""
-        self._figures = deployment.figures
+        self._profile = deployment.profile
         self._draw = random.Random(seed)
         self._entries = [_Entry(seed * 1000 + number) for number in range(deployment.entries)]
         for entry in self._entries:
             entry.ledger.others = partial(self._told_to, entry)
-        self._engines = [PassingEngine(deployment.figures) for _ in range(deployment.engines)]
+        self._engines = [SimulatedEngine(deployment.profile) for _ in range(deployment.engines)]
         self._servers = sorted(
             (
                 BackendServer(
@@ -136,10 +138,10 @@
                 )
                 for number in range(deployment.engines)
             ),
-            key=lambda server: server_hash(server.life_id),
+            key=lambda server: server_hash(server.incarnation_id),
         )
         self._routes = {kind.name: _route(kind) for kind in deployment.kinds}
-        self._limits = reading_limits(self._routes.values(), deployment.figures)
+        self._limits = prefill_limits_for(self._routes.values(), deployment.profile)
         self.outcomes: list[Outcome] = []
 
     async def run(self, arrivals: Sequence[Arrival]) -> list[Outcome]:
@@ -165,10 +167,10 @@
         while True:
             seen = entry.ledger.urgent_count
             work = entry.ledger.work(trio.current_time())
-            told = {server_hash(life_id): of_one for life_id, of_one in work.items()}
-            await trio.sleep(NEWS_WAY_S)
+            told = {server_hash(incarnation_id): of_one for incarnation_id, of_one in work.items()}
+            await trio.sleep(DATAGRAM_LATENCY_S)
             entry.told = told
-            with trio.move_on_after(gap_s - NEWS_WAY_S):
+            with trio.move_on_after(gap_s - DATAGRAM_LATENCY_S):
                 await entry.ledger.urgent_since(seen)
 
     async def _call(self, arrival: Arrival) -> None:
@@ -181,10 +183,10 @@
                 entry = self._draw.choice(self._entries)
                 asked = _Asked(self, entry, arrival, end_s)
                 outcome = (await asked.run())._replace(refusals=outcome.refusals)
-                if asked.come_back_after_s is None:
+                if asked.retry_delay_s is None:
                     break
                 outcome = outcome._replace(refusals=outcome.refusals + 1)
-                await trio.sleep(min(asked.come_back_after_s, arrival.kind.patience_s / 3))
+                await trio.sleep(min(asked.retry_delay_s, arrival.kind.patience_s / 3))
         self.outcomes.append(outcome)
 
     def place(self, entry: _Entry, arrival: Arrival, tried: set[str]) -> Placement | None:
@@ -195,41 +197,43 @@
             self.lane(arrival),
             arrival.prompt,
             arrival.kind.goal_s,
-            self._figures,
+            self._profile,
             self._limits,
-            Scatter(entry.random, self._deployment.news_gap_s + NEWS_WAY_S),
+            PlacementRandomizer(entry.random, self._deployment.news_gap_s + DATAGRAM_LATENCY_S),
         )
 
     def views(self, entry: _Entry, tried: set[str]) -> list[ServerView]:
         """Return the engines as an entry sees them."""
-        work = merge(entry.ledger.work(trio.current_time()), self._told_to(entry))
+        work = merge_work(entry.ledger.work(trio.current_time()), self._told_to(entry))
         return [
             ServerView(
                 server,
-                work.at(server.life_id),
-                is_limited=self._spares_limited and server.life_id in self._most_per_s,
+                work.at(server.incarnation_id),
+                is_limited=self._spares_limited and server.incarnation_id in self._most_per_s,
             )
             for server in self._servers
-            if server.life_id not in tried and self._has_room(entry, server.life_id)
+            if server.incarnation_id not in tried and self._has_room(entry, server.incarnation_id)
         ]
 
     def note_sent(self, entry: _Entry, placement: Placement) -> None:
         """Count what an entry sends to engines with a limit."""
         servers = [placement.server, *placement.helpers]
         now_s = trio.current_time()
-        for life_id in (server.life_id for server in servers):
-            if life_id in self._most_per_s:
-                entry.sent.setdefault(life_id, SentRequests()).note(now_s)
-                self.sent_s[life_id].append(now_s - self._begin_s)
+        for incarnation_id in (server.incarnation_id for server in servers):
+            if incarnation_id in self._most_per_s:
+                entry.sent.setdefault(incarnation_id, SentRequests()).record(now_s)
+                self.sent_s[incarnation_id].append(now_s - self._begin_s)
 
-    def _has_room(self, entry: _Entry, life_id: str) -> bool:
-        if life_id not in self._most_per_s:
+    def _has_room(self, entry: _Entry, incarnation_id: str) -> bool:
+        if incarnation_id not in self._most_per_s:
             return True
         names = {one: f"entry-{number}" for number, one in enumerate(self._entries)}
         own = names.pop(entry)
-        share_per_s = own_share_per_s(life_id, self._most_per_s[life_id], own, list(names.values()))
-        sent = entry.sent.setdefault(life_id, SentRequests())
-        return sent.room_in_s(share_per_s, trio.current_time()) <= 0
+        share_per_s = own_share_per_s(
+            incarnation_id, self._most_per_s[incarnation_id], own, list(names.values())
+        )
+        sent = entry.sent.setdefault(incarnation_id, SentRequests())
+        return sent.wait_s(share_per_s, trio.current_time()) <= 0
 
     def goals(self, arrival: Arrival) -> Goals:
         """Return the goals that decide whether a request may begin."""
@@ -238,18 +242,18 @@
     def lane(self, arrival: Arrival) -> Lane:
         """Return the lane of a request."""
         route = self._routes[arrival.kind.name]
-        return lane_of(route, arrival.prompt, self._figures, self._limits)
+        return choose_lane(route, arrival.prompt, self._profile, self._limits)
 
-    def engine(self, life_id: str) -> PassingEngine:
-        """Return an engine by its server's life."""
-        return self._engines[int(life_id[1:])]
+    def engine(self, incarnation_id: str) -> SimulatedEngine:
+        """Return an engine by its server's incarnation."""
+        return self._engines[int(incarnation_id[1:])]
 
 
 class _Asked:
     """One time that a caller asks an entry."""
 
     def __init__(self, replay: LoadReplay, entry: _Entry, arrival: Arrival, end_s: float) -> None:
-        self.come_back_after_s: float | None = None
+        self.retry_delay_s: float | None = None
         """When the caller is to come back, if it was turned away."""
         self._replay = replay
         self._entry = entry
@@ -268,10 +272,10 @@
             if placement is None or not self._may_begin(placement, is_new=attempt == 0):
                 if attempt == 0:
                     left_s = self._end_s - trio.current_time()
-                    self.come_back_after_s = come_back_after_s(left_s, self._entry.random.random())
+                    self.retry_delay_s = retry_delay_s(left_s, self._entry.random.random())
                 break
             predicted_s = placement.predicted_s
-            tried.add(placement.server.life_id)
+            tried.add(placement.server.incarnation_id)
             if await self._try(placement, is_last=attempt == MOST_ATTEMPTS - 1):
                 return self._outcome(predicted_s, is_whole=True)
             if self._first_s is not None:
@@ -282,56 +286,67 @@
         if is_new and overload_reason(placement, self._replay.goals(self._arrival)):
             return False
         left_s = self._end_s - trio.current_time()
-        return not is_hopeless(placement.predicted_s, self._patience_s(), left_s)
+        return not would_miss_deadline(placement.predicted_s, self._patience_s(), left_s)
 
     def _patience_s(self) -> float:
         kind = self._arrival.kind
-        return max(PATIENCE_S, PATIENCE_GOALS * kind.goal_s, PATIENCE_PAUSES * kind.pause_goal_s)
+        return max(
+            CALLER_TIMEOUT_S,
+            CALLER_TIMEOUT_GOALS * kind.goal_s,
+            CALLER_TIMEOUT_PAUSES * kind.pause_goal_s,
+        )
 
     async def _try(self, placement: Placement, *, is_last: bool) -> bool:
         """Make one attempt; return whether the answer is whole."""
         now_s = trio.current_time()
-        memory = {holding.server.life_id: holding.tokens for holding in placement.holdings}
-        flight = Flight(
-            placement.server.life_id,
+        memory = {holding.server.incarnation_id: holding.tokens for holding in placement.holdings}
+        in_flight = InFlightAttempt(
+            placement.server.incarnation_id,
             placement.lane,
             memory,
             placement.parts,
             now_s + placement.predicted_s,
         )
-        self._entry.ledger.add(flight, now_s)
+        self._entry.ledger.add(in_flight, now_s)
         self._replay.note_sent(self._entry, placement)
         patience_s = self._patience_s()
         limit_s = patience_s
         if not is_last:
-            expected_s = min(LATE_FACTOR * placement.predicted_s, LATEST_SHARE * patience_s)
-            limit_s = max(SILENCE_SHARE * patience_s, expected_s)
+            expected_s = min(
+                FIRST_EVENT_TIMEOUT_FACTOR * placement.predicted_s,
+                MAX_FIRST_EVENT_TIMEOUT_SHARE * patience_s,
+            )
+            limit_s = max(SILENCE_TIMEOUT_SHARE * patience_s, expected_s)
         try:
             with trio.move_on_after(limit_s) as silence:
-                return await self._run(placement, flight, silence, patience_s)
+                return await self._run(placement, in_flight, silence, patience_s)
             return False
-        except Full:
+        except EngineFull:
             return False
         finally:
-            self._entry.ledger.remove(flight, trio.current_time())
+            self._entry.ledger.remove(in_flight, trio.current_time())
 
     async def _run(
-        self, placement: Placement, flight: Flight, silence: trio.CancelScope, patience_s: float
+        self,
+        placement: Placement,
+        in_flight: InFlightAttempt,
+        silence: trio.CancelScope,
+        patience_s: float,
     ) -> bool:
-        engine = self._replay.engine(placement.server.life_id)
-        helpers = [self._replay.engine(helper.life_id) for helper in placement.helpers]
+        engine = self._replay.engine(placement.server.incarnation_id)
+        helpers = [self._replay.engine(helper.incarnation_id) for helper in placement.helpers]
         elsewhere = sum(holding.tokens for holding in placement.holdings[1:])
         tokens = self._arrival.prompt.prompt_tokens
         run = engine.run(tokens, self._arrival.events, helpers, elsewhere)
         async with aclosing(run) as events:
             async for _ in events:
-                self._note_event(flight)
+                self._note_event(in_flight)
                 silence.deadline = trio.current_time() + patience_s
         return True
 
-    def _note_event(self, flight: Flight) -> None:
+    def _note_event(self, in_flight: InFlightAttempt) -> None:
         now_s = trio.current_time()
-        self._entry.ledger.first_event(flight, now_s)
+        self._entry.ledger.first_event(in_flight, now_s)
         if self._first_s is None:
             self._first_s = now_s - (self._replay._begin_s + self._arrival.at_s)
         else:
--- a/packages/testing/src/sassafrastally/testing/soak/fleet.py
+++ b/packages/testing/src/sassafrastally/testing/soak/fleet.py
@@ -199,17 +199,17 @@
 
     def _make_replica(self, service: str) -> Replica:
         self._lives += 1
-        figures = None
+        profile = None
         if service == "engines":
             document = json.dumps(make_configuration(1)).encode()
-            figures = PlatformDialect().decode_configuration(document).services[service].engine
-        replica = Replica(f"{service}-{self._lives}", service, self._by_address, figures, 0.03)
+            profile = PlatformDialect().decode_configuration(document).services[service].engine
+        replica = Replica(f"{service}-{self._lives}", service, self._by_address, profile, 0.03)
         self.all_replicas.append(replica)
         return replica
 
     async def _run_replica(self, server: Server) -> None:
         replica = server.replica
-        replica.crashes_under = self.harmful_bodies
+        replica.crashing_bodies = self.harmful_bodies
         await replica.start(self._hosts + "2", self.nursery)
         self.nursery.start_soon(self._replace_crashed, server, replica)
         server.proxy.target = replica.address
--- a/packages/testing/tests/platform/test_harmful_requests.py
+++ b/packages/testing/tests/platform/test_harmful_requests.py
@@ -9,10 +9,10 @@
 import trio
 
 from sassafrastally.proxy.backpressure import Backpressure
-from sassafrastally.proxy.beliefs import Beliefs
-from sassafrastally.proxy.model import ServerAsks
+from sassafrastally.proxy.cluster_state import ClusterState
+from sassafrastally.proxy.model import BackpressureSignals
 from sassafrastally.stand_ins.documents import make_configuration, make_route
-from sassafrastally.stand_ins.platform_fleet import RESTART_S, until
+from sassafrastally.stand_ins.platform_fleet import RESTART_S, wait_until
 from sassafrastally.testing.harmful_fleet import (
     CRASHES,
     HARMFUL,
@@ -157,7 +157,7 @@
                 nursery.start_soon(
                     partial(fleet.call, "/note/x", body=self.HARMLESS, prompt="1000,1700")
                 )
-                await until(lambda: any(r.engine and r.engine.running for r in alive(fleet)))
+                await wait_until(lambda: any(r.engine and r.engine.running for r in alive(fleet)))
                 await trio.sleep(0.1)
                 busy = next(r for r in alive(fleet) if r.engine and r.engine.running)
                 await harm(busy)
@@ -218,11 +218,11 @@
         """Guards against blaming in-flight requests for an exit that the server announced."""
         await start_fleet(fleet, entries=1, engines=8)
         backpressure = fleet.kernels[0].get("backpressure", Backpressure)
-        beliefs = fleet.kernels[0].get("beliefs", Beliefs)
+        cluster_state = fleet.kernels[0].get("beliefs", ClusterState)
 
         async def leave(replica) -> None:
-            server = beliefs.server(replica.server_id)
-            backpressure.note_answer(server, ServerAsks(is_leaving=True))
+            server = cluster_state.server(replica.server_id)
+            backpressure.record_answer(server, BackpressureSignals(is_leaving=True))
             replica.crash()
 
         await self.send_while(fleet, leave)
